--- a/src/controller/http.rs
+++ b/src/controller/http.rs
@@ -20,6 +20,37 @@
     NoAnswer,
 }
 
+/// One request to a service.
+#[derive(Debug, Clone, PartialEq)]
+pub struct HttpRequest {
+    /// The method.
+    pub method: &'static str,
+    /// The path with its query.
+    pub path: String,
+    /// The JSON body, if it has one.
+    pub body: Option<serde_json::Value>,
+}
+
+impl HttpRequest {
+    /// A `GET` request.
+    pub fn get(path: String) -> Self {
+        HttpRequest {
+            method: "GET",
+            path,
+            body: None,
+        }
+    }
+
+    /// A `POST` request with a JSON body.
+    pub fn post(path: String, body: serde_json::Value) -> Self {
+        HttpRequest {
+            method: "POST",
+            path,
+            body: Some(body),
+        }
+    }
+}
+
 type Sender = SendRequest<Full<Bytes>>;
 
 /// Kept connections to one address.
@@ -68,18 +99,17 @@
     }
 
     /// Sends one request and waits for its answer, for `within` at most.
-    pub async fn call(
+    pub async fn send(
         &self,
-        method: &str,
-        path: &str,
-        body: Option<&serde_json::Value>,
+        request: &HttpRequest,
         within: Duration,
     ) -> Result<(u16, Bytes), Failure> {
         let until = Instant::now() + within;
-        let bytes = body.map_or_else(Bytes::new, |b| Bytes::from(b.to_string()));
+        let body = request.body.as_ref();
+        let bytes = body.map_or_else(Bytes::new, |json| Bytes::from(json.to_string()));
         let mut request = hyper::Request::builder()
-            .method(method)
-            .uri(path)
+            .method(request.method)
+            .uri(&request.path)
             .header("host", &self.addr)
             .header("content-type", "application/json")
             .body(Full::new(bytes))
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -20,7 +20,7 @@
 use crate::workers::{Direct, Report};
 use bytes::Bytes;
 use core::Core;
-use http::{Failure, Pool, Pools};
+use http::{Failure, HttpRequest, Pool, Pools};
 use messages::{Answer, DirectAnswer, Effect, Input, View};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -215,12 +215,18 @@
     }
 }
 
+/// The request that carries commands straight to a worker.
+pub(crate) fn direct_request(direct: &Direct) -> Result<HttpRequest, serde_json::Error> {
+    let body = serde_json::to_value(direct)?;
+    Ok(HttpRequest::post("/do".into(), body))
+}
+
 /// Commands straight to a worker.
 async fn direct(worker: &Pool, direct: Direct, within: Duration) -> DirectAnswer {
-    let Ok(body) = serde_json::to_value(&direct) else {
+    let Ok(request) = direct_request(&direct) else {
         return DirectAnswer::NotSent;
     };
-    match worker.call("POST", "/do", Some(&body), within).await {
+    match worker.send(&request, within).await {
         Ok((200 | 409, body)) => match serde_json::from_slice::<Report>(&body) {
             Ok(r) => DirectAnswer::Report(r),
             Err(_) => DirectAnswer::Lost,
--- /dev/null
+++ b/src/controller/tests/characterization.rs
@@ -0,0 +1,140 @@
+//! The behaviour of the controllers, pinned: seeded histories of the scripted world are
+//! played, and all effects of all controllers are digested in order and in the form that
+//! they have on the wire. No Rust name goes into the digest, so a change that only renames
+//! or restructures leaves the snapshot as it is.
+//!
+//! A change that is meant to decide differently renews the snapshot:
+//! `INSTA_UPDATE=always cargo test --lib characterization`, and says so in its commit.
+
+use super::pairs::{Kind, recorded_pair};
+use crate::api::read_index::Found;
+use crate::clock::Micros;
+use crate::controller::direct_request;
+use crate::controller::http::HttpRequest;
+use crate::controller::messages::{Answer, Effect, View};
+use crate::{fleet, mesh, store};
+use serde_json::{Value, json};
+use sha2::{Digest, Sha256};
+use std::collections::BTreeMap;
+use std::fmt::Write;
+
+/// Histories of each kind that are compared.
+const SEEDS: std::ops::Range<u64> = 0..16;
+/// Bytes of the digest that the snapshot shows.
+const SHOWN_BYTES: usize = 12;
+
+/// Digests effects in their wire form, and counts them by kind.
+#[derive(Default)]
+pub struct WireRecorder {
+    digest: Sha256,
+    counts: BTreeMap<&'static str, usize>,
+}
+
+impl WireRecorder {
+    /// Adds an effect of a controller at a moment.
+    pub fn record(&mut self, now: Micros, controller: usize, effect: &Effect) {
+        let (kind, wire) = wire_form(effect);
+        *self.counts.entry(kind).or_default() += 1;
+        let line = format!("{} {controller} {kind} {wire}\n", now.0);
+        self.digest.update(line);
+    }
+
+    /// One line: the digest and the counts.
+    fn summary(self) -> String {
+        let digest = self.digest.finalize();
+        let mut line = String::new();
+        for byte in &digest[..SHOWN_BYTES] {
+            let _ = write!(line, "{byte:02x}");
+        }
+        for (kind, count) in self.counts {
+            let _ = write!(line, " {kind}={count}");
+        }
+        line
+    }
+}
+
+/// The kind of an effect, and all that leaves the process with it.
+fn wire_form(effect: &Effect) -> (&'static str, String) {
+    match effect {
+        Effect::Store {
+            request, urgency, ..
+        } => {
+            let http = http_form(&store::client::http_request(request));
+            ("store", format!("{} {http}", *urgency as u8))
+        }
+        Effect::Answer { answer, .. } => ("worker", worker_form(answer)),
+        Effect::Found { ticket, found } => ("user", format!("{ticket} {}", user_form(found))),
+        Effect::Do {
+            addr,
+            direct,
+            until,
+            ..
+        } => {
+            let http = direct_request(direct).expect("a direct command is JSON");
+            ("direct", format!("{addr} {} {}", until.0, http_form(&http)))
+        }
+        Effect::Cloud(request) => ("cloud", http_form(&fleet::client::http_request(request))),
+        Effect::Mesh(message) => {
+            let frame = mesh::encode(message).expect("a message has a frame");
+            ("mesh", format!("{frame:?}"))
+        }
+        Effect::View(view) => ("view", view_form(view)),
+    }
+}
+
+fn http_form(request: &HttpRequest) -> String {
+    let body = request
+        .body
+        .as_ref()
+        .map_or(String::new(), Value::to_string);
+    format!("{} {} {body}", request.method, request.path)
+}
+
+fn worker_form(answer: &Answer) -> String {
+    match answer {
+        Answer::Orders(orders) => format!("200 {} {}", orders.until.0, json!(orders)),
+        Answer::Elsewhere(label) => format!("421 {label}"),
+        Answer::NotNow => "503".to_owned(),
+    }
+}
+
+fn user_form(found: &Found) -> Value {
+    match found {
+        Found::Live {
+            revision,
+            standing,
+            tasks,
+            footprint,
+            done,
+            running,
+        } => json!([revision, standing, tasks, footprint, done, running]),
+        Found::Ended(record) => json!(record),
+        Found::Nothing => json!(404),
+        Found::Unreadable => json!(503),
+    }
+}
+
+fn view_form(view: &View) -> String {
+    json!([view.types.as_deref(), view.teams, view.healthy, view.format]).to_string()
+}
+
+/// The digests of histories of one kind, a line each.
+fn summaries(kind: Kind) -> String {
+    let line = |seed| format!("seed {seed}: {}", recorded_pair(seed, kind).summary());
+    SEEDS.map(line).collect::<Vec<_>>().join("\n")
+}
+
+#[test]
+fn characterization_of_pairs_of_troubles() {
+    insta::assert_snapshot!(summaries(Kind::Plain));
+}
+
+#[test]
+fn characterization_of_pairs_of_troubles_with_chains() {
+    insta::assert_snapshot!(summaries(Kind::Chains));
+}
+
+#[test]
+fn characterization_of_pairs_of_troubles_with_lost_zones() {
+    insta::assert_snapshot!(summaries(Kind::Zones));
+}
--- a/src/controller/tests/loopback/mod.rs
+++ b/src/controller/tests/loopback/mod.rs
@@ -3,6 +3,7 @@
 mod stand_ins;
 
 use crate::clock::Micros;
+use crate::controller::http::{HttpRequest, Pool};
 use crate::jobs::tests::{body as job_body, types};
 use crate::policy::Policy;
 use crate::settings::Settings;
@@ -69,7 +70,7 @@
 
 struct Test {
     site: Shared,
-    users: crate::controller::http::Pool,
+    users: Pool,
     until: Instant,
 }
 
@@ -97,11 +98,8 @@
         let second = Duration::from_secs(1);
         loop {
             assert!(Instant::now() < self.until, "{id} is not accepted");
-            match self
-                .users
-                .call("POST", "/v1/jobs", Some(&job), second)
-                .await
-            {
+            let request = HttpRequest::post("/v1/jobs".into(), job.clone());
+            match self.users.send(&request, second).await {
                 Ok((200 | 201, _)) => return,
                 _ => tokio::time::sleep(second / 5).await,
             }
@@ -111,8 +109,8 @@
     async fn standing(&self, id: &str) -> String {
         let path = format!("/v1/jobs/{id}");
         let within = Duration::from_secs(2);
-        let answer = self.users.call("GET", &path, None, within);
-        let Ok((200, answer)) = answer.await else {
+        let request = HttpRequest::get(path);
+        let Ok((200, answer)) = self.users.send(&request, within).await else {
             return "unknown".into();
         };
         let answer: Value = serde_json::from_slice(&answer).expect("JSON");
@@ -143,7 +141,7 @@
     }
     let test = Test {
         site: site.clone(),
-        users: crate::controller::http::Pool::new(controllers[0].clone(), 4),
+        users: Pool::new(controllers[0].clone(), 4),
         until: Instant::now() + BOUND,
     };
     // Two tasks to a machine; there is room for all of it in two zones.
--- a/src/controller/tests/loopback/stand_ins.rs
+++ b/src/controller/tests/loopback/stand_ins.rs
@@ -2,6 +2,7 @@
 
 use super::super::world::{FakeStore, FakeWorker};
 use crate::clock::Micros;
+use crate::controller::http::{HttpRequest, Pool};
 use crate::fleet::MachineType;
 use crate::ids::{FencingToken, LeaseId, Revision};
 use crate::store::{self, Change, Cond, Op, Reply, Row};
@@ -180,7 +181,7 @@
 async fn report(site: Shared, at: usize, controllers: Vec<String>) {
     let pools: Vec<_> = controllers
         .iter()
-        .map(|address| crate::controller::http::Pool::new(address.clone(), 2))
+        .map(|address| Pool::new(address.clone(), 2))
         .collect();
     let mut node = at % pools.len();
     loop {
@@ -195,8 +196,8 @@
             body["addr"] = site.addresses[at].clone().into();
             body
         };
-        let answered = pools[node].call("POST", "/checkin", Some(&body), Duration::from_secs(2));
-        match answered.await {
+        let request = HttpRequest::post("/checkin".into(), body);
+        match pools[node].send(&request, Duration::from_secs(2)).await {
             Ok((200, answer)) => {
                 let answer: Value = serde_json::from_slice(&answer).unwrap_or_default();
                 let mut site = site.lock();
--- a/src/controller/tests/mod.rs
+++ b/src/controller/tests/mod.rs
@@ -1,6 +1,7 @@
 //! Whole days in small. Each test names the failure that it guards against.
 
 mod added;
+mod characterization;
 mod dependencies;
 mod fleet;
 mod formats;
--- a/src/controller/tests/pairs.rs
+++ b/src/controller/tests/pairs.rs
@@ -5,6 +5,7 @@
 //! `PAIRS=1000..1400 cargo test pairs` plays other seeds. One that fails becomes a
 //! named test.
 
+use super::characterization::WireRecorder;
 use super::world::{World, secs};
 use crate::api::read_index::Found;
 use crate::clock::Micros;
@@ -86,7 +87,7 @@
 
 /// What is special about a run of pairs.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Kind {
+pub(super) enum Kind {
     Plain,
     /// Jobs name others that have to be done before them.
     Chains,
@@ -392,7 +393,18 @@
 
 /// A pair that overlaps, the second a little after the first.
 fn pair(seed: u64, kind: Kind) {
+    play_pair(Day::new(seed, kind), seed, kind);
+}
+
+/// A pair whose effects are all recorded.
+pub(super) fn recorded_pair(seed: u64, kind: Kind) -> WireRecorder {
     let mut day = Day::new(seed, kind);
+    day.w.recorder = Some(WireRecorder::default());
+    let day = play_pair(day, seed, kind);
+    day.w.recorder.expect("a recorder")
+}
+
+fn play_pair(mut day: Day, seed: u64, kind: Kind) -> Day {
     let [a, b] = [(); 2].map(|()| *TROUBLES.choose(&mut day.rng).expect("one"));
     let a = if kind == Kind::Zones {
         Trouble::ZoneCut
@@ -408,6 +420,7 @@
     let second = day.draw(b, from + secs(gap.unwrap_or(1.0)));
     println!("seed {seed}: {first:?}, {second:?}");
     day.play(vec![first, second]);
+    day
 }
 
 /// The seeds of one of so many tests, so that they run side by side.
--- a/src/controller/tests/world.rs
+++ b/src/controller/tests/world.rs
@@ -2,6 +2,7 @@
 
 use super::super::core::Core;
 use super::super::messages::{Answer, DirectAnswer, Effect, Input, StoreOperation, View};
+use super::characterization::WireRecorder;
 use crate::api::read_index::Found;
 use crate::clock::Micros;
 use crate::fleet::{CloudReply, CloudRequest, CloudStanding, Listed, MachineType};
@@ -374,6 +375,8 @@
     pub cut_zones: BTreeSet<&'static str>,
     /// What was rented, in its order: the zone and how many.
     pub rentals: Vec<(String, u32)>,
+    /// Records all effects, if the history is to be compared.
+    pub recorder: Option<WireRecorder>,
 }
 
 impl World {
@@ -439,6 +442,7 @@
             no_capacity: BTreeSet::new(),
             cut_zones: BTreeSet::new(),
             rentals: vec![],
+            recorder: None,
         };
         for i in 0..nodes {
             w.start(i);
@@ -468,6 +472,9 @@
         while let Some(input) = inputs.pop() {
             let core = self.nodes[i].core.as_mut()?;
             for effect in core.handle(now, now, input) {
+                if let Some(recorder) = &mut self.recorder {
+                    recorder.record(now, i, &effect);
+                }
                 match effect {
                     Effect::Store { tag, request, .. } => {
                         let reply = self.ask(i, &tag, request);
--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -2,7 +2,7 @@
 
 use super::{CloudReply, CloudRequest, Listed, MachineType};
 use crate::clock::Steady;
-use crate::controller::http::Pool;
+use crate::controller::http::{HttpRequest, Pool};
 use crate::ids::MachineId;
 use crate::store::client::Bucket;
 use serde::Deserialize;
@@ -50,7 +50,7 @@
     /// Asks once, as soon as the limit allows.
     pub async fn ask(&self, request: &CloudRequest) -> CloudReply {
         match request {
-            CloudRequest::Types => match self.call("GET", "/machine_types", None).await {
+            CloudRequest::Types => match self.send(http_request(request)).await {
                 Some((200, b)) => {
                     read(&b).map_or(CloudReply::Unknown, |t: Types| CloudReply::Types(t.builds))
                 }
@@ -60,10 +60,8 @@
                 .list()
                 .await
                 .map_or(CloudReply::Unknown, CloudReply::List),
-            CloudRequest::Rent(name, rental) => {
-                let body = json!({"hire": name, "build": rental.build, "yard": rental.zone,
-                                  "loaners": rental.spot, "howMany": rental.count});
-                match self.call("POST", "/machines", Some(body)).await {
+            CloudRequest::Rent(..) => {
+                match self.send(http_request(request)).await {
                     Some((200, b)) => {
                         read(&b).map_or(CloudReply::Unknown, |r: Rented| CloudReply::Rented(r.rigs))
                     }
@@ -73,27 +71,18 @@
                     _ => CloudReply::Unknown,
                 }
             }
-            CloudRequest::Return(ids) => {
-                match self
-                    .call("POST", "/machines/return", Some(json!({"rigs": ids})))
-                    .await
-                {
-                    Some((200, _)) => CloudReply::Returned,
-                    _ => CloudReply::Unknown,
-                }
-            }
+            CloudRequest::Return(_) => match self.send(http_request(request)).await {
+                Some((200, _)) => CloudReply::Returned,
+                _ => CloudReply::Unknown,
+            },
         }
     }
 
     async fn list(&self) -> Option<Vec<Listed>> {
         let mut all: Vec<Listed> = Vec::new();
         loop {
-            let since = all
-                .last()
-                .map_or(String::new(), |m| format!("since={}&", m.id));
-            let (status, body) = self
-                .call("GET", &format!("/machines?{since}most={PAGE}"), None)
-                .await?;
+            let last = all.last().map(|machine| &machine.id);
+            let (status, body) = self.send(list_request(last)).await?;
             let page: List = if status == 200 {
                 read(&body)?
             } else {
@@ -107,25 +96,39 @@
         }
     }
 
-    async fn call(
-        &self,
-        method: &str,
-        path: &str,
-        body: Option<serde_json::Value>,
-    ) -> Option<(u16, bytes::Bytes)> {
+    async fn send(&self, request: HttpRequest) -> Option<(u16, bytes::Bytes)> {
         loop {
             if self.bucket.borrow_mut().take(self.clock.now(), 1.0, 0.0) {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        self.pool
-            .call(method, path, body.as_ref(), DEADLINE)
-            .await
-            .ok()
+        self.pool.send(&request, DEADLINE).await.ok()
+    }
+}
+
+/// The request as the cloud's interface has it; of a list, its first page.
+pub(crate) fn http_request(request: &CloudRequest) -> HttpRequest {
+    match request {
+        CloudRequest::Types => HttpRequest::get("/machine_types".into()),
+        CloudRequest::List => list_request(None),
+        CloudRequest::Rent(name, rental) => {
+            let body = json!({"hire": name, "build": rental.build, "yard": rental.zone,
+                              "loaners": rental.spot, "howMany": rental.count});
+            HttpRequest::post("/machines".into(), body)
+        }
+        CloudRequest::Return(ids) => {
+            HttpRequest::post("/machines/return".into(), json!({"rigs": ids}))
+        }
     }
 }
 
+/// The page of the machines' list after this one.
+fn list_request(last: Option<&MachineId>) -> HttpRequest {
+    let since = last.map_or(String::new(), |id| format!("since={id}&"));
+    HttpRequest::get(format!("/machines?{since}most={PAGE}"))
+}
+
 fn read<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Option<T> {
     serde_json::from_slice(body).ok()
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -2,7 +2,7 @@
 
 use super::{Change, Cond, Op, ROOT, Reply, Request, Row, Urgency};
 use crate::clock::{Micros, Steady};
-use crate::controller::http::{Failure, Pool};
+use crate::controller::http::{Failure, HttpRequest, Pool};
 use crate::ids::{LeaseId, Revision};
 use crate::settings::StateLimits;
 use serde::Deserialize;
@@ -238,30 +238,8 @@
     }
 
     async fn send(&self, request: &Request) -> Sent {
-        let (method, path, body) = match request {
-            Request::Get { key } => ("GET", format!("/keys/{key}"), None),
-            Request::List { starts, since } => {
-                let since = since
-                    .as_ref()
-                    .map_or(String::new(), |s| format!("&since={s}"));
-                (
-                    "GET",
-                    format!("/keys?starts={starts}{since}&most=500"),
-                    None,
-                )
-            }
-            Request::Txn { conds, ops } => ("POST", "/txn".into(), Some(txn_body(conds, ops))),
-            Request::NewLease { life } => (
-                "POST",
-                "/leases".into(),
-                Some(json!({"lifeMs": life.0 / 1000})),
-            ),
-            Request::Renew { lease_id } => {
-                ("POST", format!("/leases/{lease_id}/renew"), Some(json!({})))
-            }
-            Request::EndLease { lease_id } => ("DELETE", format!("/leases/{lease_id}"), None),
-        };
-        let sent = self.pool.call(method, &path, body.as_ref(), DEADLINE).await;
+        let http = http_request(request);
+        let sent = self.pool.send(&http, DEADLINE).await;
         Sent::Reply(match sent {
             Ok((429, _)) => return Sent::OverLimit,
             Ok((status, body)) => read_reply(request, status, &body),
@@ -299,7 +277,11 @@
             return Followed::Failed;
         }
         let path = format!("/follow?starts={ROOT}&since={since}&waitMs={WATCH_MS}");
-        match self.pool.call("GET", &path, None, WATCH_DEADLINE).await {
+        match self
+            .pool
+            .send(&HttpRequest::get(path), WATCH_DEADLINE)
+            .await
+        {
             Ok((200, body)) => match serde_json::from_slice::<Log>(&body) {
                 Ok(log) => Followed::Changes(log.log, log.ledger),
                 Err(_) => Followed::Failed,
@@ -338,6 +320,31 @@
     })
 }
 
+/// The request as the state service's interface has it.
+pub(crate) fn http_request(request: &Request) -> HttpRequest {
+    match request {
+        Request::Get { key } => HttpRequest::get(format!("/keys/{key}")),
+        Request::List { starts, since } => {
+            let since = since
+                .as_ref()
+                .map_or(String::new(), |key| format!("&since={key}"));
+            HttpRequest::get(format!("/keys?starts={starts}{since}&most=500"))
+        }
+        Request::Txn { conds, ops } => HttpRequest::post("/txn".into(), txn_body(conds, ops)),
+        Request::NewLease { life } => {
+            HttpRequest::post("/leases".into(), json!({"lifeMs": life.0 / 1000}))
+        }
+        Request::Renew { lease_id } => {
+            HttpRequest::post(format!("/leases/{lease_id}/renew"), json!({}))
+        }
+        Request::EndLease { lease_id } => HttpRequest {
+            method: "DELETE",
+            path: format!("/leases/{lease_id}"),
+            body: None,
+        },
+    }
+}
+
 fn txn_body(conds: &[Cond], ops: &[Op]) -> Value {
     json!({"if": conds, "then": ops})
 }
