--- a/crates/zone-failover/tests/settings.rs
+++ b/crates/zone-failover/tests/settings.rs
@@ -116,6 +116,105 @@
     }
 }
 
+#[test]
+fn every_key_is_read_from_its_place() {
+    let text = r#"enabled = true
+        evacuation-priority = "rank_level"
+        services = ["gauge-alerts"]
+        declared = [{ zone = "glenorchy-pump", state = "in" }, { zone = "huonville-yard", state = "out" }]
+        [health]
+        suspect-after = "2s"
+        lost-after = "5s"
+        return-after = "6s"
+        probation = "11s"
+        most-probation = "61s"
+        quiet = "11m"
+        probe-after = "21s"
+        patience = "31s"
+        lost-share = 0.75
+        up-share = 0.25
+        least-machines = 4
+        [waves]
+        machines = 201
+        tasks = 2001
+        interval = "1500ms"
+        [return]
+        move-running = true
+        tasks-per-team = 11
+        least-gain = 2.5
+        period = "2h"
+        [[return.window]]
+        time-zone = "Australia/Hobart"
+        days = ["monday", "tuesday", "wednesday", "thursday", "friday", "saturday", "sunday"]
+        from = "22:00"
+        to = "05:00"
+        [[return.window]]
+        time-zone = "Australia/Hobart"
+        from = "12:00"
+        to = "13:00""#;
+    let raw: RawSettings = toml::from_str(text).expect("well formed");
+    assert_eq!(raw.evacuation_priority().expect("given").0, "rank_level");
+    let s = check(text).expect("fine").expect("on");
+    let h = &s.health;
+    let times = [h.suspect_after, h.lost_after, h.return_after, h.probation];
+    assert_eq!(times.map(Micros::as_secs), [2.0, 5.0, 6.0, 11.0]);
+    let times = [h.most_probation, h.quiet, h.probe_after, h.patience];
+    assert_eq!(times.map(Micros::as_secs), [61.0, 660.0, 21.0, 31.0]);
+    assert_eq!(
+        (h.lost_share, h.up_share, h.least_machines),
+        (0.75, 0.25, 4)
+    );
+    let w = &s.waves;
+    assert_eq!(
+        (w.machines, w.tasks, w.interval.as_secs()),
+        (201, 2001, 1.5)
+    );
+    let r = &s.homecoming;
+    let numbers = (r.move_running, r.tasks_per_team, r.least_gain);
+    assert_eq!((numbers, r.period.as_secs()), ((true, 11, 2.5), 7200.0));
+    use Weekday::*;
+    let days = vec![
+        Monday, Tuesday, Wednesday, Thursday, Friday, Saturday, Sunday,
+    ];
+    let windows = [("22:00", "05:00"), ("12:00", "13:00")];
+    let windows = windows.map(|(from, to)| window(HOBART, days.clone(), from, to));
+    assert_eq!(r.windows, windows);
+    assert_eq!(s.services, ["gauge-alerts"]);
+    let declared = |zone: &str| s.declared[zone];
+    assert_eq!(declared("glenorchy-pump"), DeclaredState::In);
+    assert_eq!(declared("huonville-yard"), DeclaredState::Out);
+}
+
+#[test]
+fn every_table_knows_these_keys_and_no_other() {
+    let cases = [
+        (
+            "",
+            "`enabled`, `evacuation-priority`, `services`, `health`, `waves`, `return`, `declared`",
+        ),
+        (
+            "[health]\n",
+            "`suspect-after`, `lost-after`, `return-after`, `probation`, `most-probation`, `quiet`, \
+             `probe-after`, `patience`, `lost-share`, `up-share`, `least-machines`",
+        ),
+        ("[waves]\n", "`machines`, `tasks`, `interval`"),
+        (
+            "[return]\n",
+            "`move-running`, `tasks-per-team`, `least-gain`, `period`, `window`",
+        ),
+        ("[[return.window]]\n", "`time-zone`, `days`, `from`, `to`"),
+        ("[[declared]]\n", "`zone` or `state`"),
+    ];
+    for (table, known) in cases {
+        let refused = check(&format!("{table}zzz = 1")).expect_err(table);
+        let (what, keys) = refused.split_once(", expected ").expect(table);
+        assert_eq!(
+            (what, keys.trim_start_matches("one of ")),
+            ("unknown field `zzz`", known)
+        );
+    }
+}
+
 /// The time of day at a local time; `later`: the second of two that the clocks show.
 fn at(zone: &str, local: jiff::civil::DateTime, later: bool) -> Micros {
     let time_zone = TimeZoneDatabase::bundled().get(zone).expect("a zone");
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -366,3 +366,129 @@
     };
     assert_eq!(status(&submit(view(), unreadable, unasked).await).0, 503);
 }
+
+/// As it is sent: the status, the headers that matter, and the body.
+fn sent(res: Response) -> (u16, String, String) {
+    let headers = [RETRY_AFTER, CONTENT_TYPE].map(|name| {
+        let value = res.headers().get(name);
+        value.map_or("", |v| v.to_str().expect("text")).to_owned()
+    });
+    let salvo::http::ResBody::Once(body) = &res.body else {
+        panic!("a body at once");
+    };
+    let body = String::from_utf8(body.to_vec()).expect("text");
+    let status = res.status_code.map_or(0, |s| s.as_u16());
+    (status, headers.join(" "), body)
+}
+
+#[tokio::test]
+async fn answers_to_users_keep_their_form() {
+    let rendered = |told: UserAnswer| {
+        let mut res = Response::new();
+        told.render(&mut res);
+        sent(res)
+    };
+    let gives = |status, body: &str| (status, " application/json".to_owned(), body.to_owned());
+    let later = |why: &str| {
+        let body = format!(r#"{{"error":"{why}"}}"#);
+        (503, "1 application/json".to_owned(), body)
+    };
+    let taken: Answers = |_| Reply::Committed(Revision(9));
+    let new: Find = |_| Found::Nothing;
+    let told = rendered(submit(view(), taken, new).await);
+    assert_eq!(
+        told,
+        gives(201, r#"{"id":"j-000412","standing":"pending"}"#)
+    );
+    let with = |find| api(view(), taken, find, orders(Micros::ZERO));
+    let (known, unknown) = (with(|_| live()), with(new));
+    let running = r#"{"done":1,"id":"j-000412","running":2,"standing":"running"}"#;
+    let told = rendered(known.status("j-000412").await);
+    assert_eq!(told, gives(200, running));
+    let cancelled = rendered(known.abort("j-000412").await);
+    let expected = gives(200, r#"{"id":"j-000412","standing":"cancelled"}"#);
+    assert_eq!(cancelled, expected);
+    let over: [(Find, &str); 2] = [
+        (
+            |_| ended(Standing::Done),
+            r#"{"done":4,"id":"j-000412","running":0,"standing":"done"}"#,
+        ),
+        (
+            |_| ended(Standing::Cancelled),
+            r#"{"done":0,"id":"j-000412","running":0,"standing":"cancelled"}"#,
+        ),
+    ];
+    for (find, body) in over {
+        let told = rendered(with(find).status("j-000412").await);
+        assert_eq!(told, gives(200, body));
+    }
+    let told = rendered(unknown.submit(b"{").await);
+    let body = r#"{"error":"not JSON: EOF while parsing an object at line 1 column 1"}"#;
+    assert_eq!(told, gives(400, body));
+    for told in [
+        unknown.status("j-1").await,
+        unknown.abort("j-1").await,
+        known.status("x").await,
+    ] {
+        assert_eq!(rendered(told), gives(404, r#"{"error":"no such job"}"#));
+    }
+    let mut other = job();
+    other["crew"] = json!("green");
+    let told = rendered(unknown.submit(other.to_string().as_bytes()).await);
+    assert_eq!(told, gives(422, r#"{"error":"unknown team green"}"#));
+    let told = rendered(with(|_| Found::Unreadable).status("j-1").await);
+    assert_eq!(told, later("the state service can't be reached"));
+    let types = View {
+        types: None,
+        ..view()
+    };
+    let told = rendered(submit(types, taken, new).await);
+    assert_eq!(told, later("machine types are not known yet"));
+}
+
+#[tokio::test]
+async fn answers_to_workers_and_to_health_checks_keep_their_form() {
+    let report = r#"{"rig":"m-1","addr":"a:1","build":"big","yard":"x","loaners":false,"shift":1,"tally":1,"baton":0,"hands":[]}"#;
+    let hour = orders(Micros::from_secs(3_600.0));
+    let with = |view| api(view, |_| Reply::Unknown, |_| Found::Nothing, hour.clone());
+    let mut api = with(view());
+    let told = api.report(report.as_bytes()).await;
+    assert_eq!(
+        (told.0, told.1.to_string().as_str()),
+        (200, r#"{"baton":7,"orders":[]}"#)
+    );
+    let told = api.report(b"{").await;
+    assert_eq!(
+        (told.0, told.1.to_string().as_str()),
+        (400, r#"{"error":"malformed report"}"#)
+    );
+    let (reports, mut arrivals) = mpsc::channel::<Arrived>(16);
+    api.ports.reports = reports;
+    tokio::spawn(async move {
+        let first = arrivals.recv().await.expect("a report");
+        let _ = first.answer.send(Answer::Elsewhere("c1".into()));
+        drop(arrivals.recv().await);
+    });
+    let told = api.report(report.as_bytes()).await;
+    assert_eq!(
+        (told.0, told.1.to_string().as_str()),
+        (421, r#"{"answerTo":"c1"}"#)
+    );
+    let told = api.report(report.as_bytes()).await;
+    let expected = (503, r#"{"error":"not entitled to answer"}"#);
+    assert_eq!((told.0, told.1.to_string().as_str()), expected);
+    for (healthy, status, body) in [
+        (true, 200, r#"{"up":true}"#),
+        (false, 503, r#"{"up":false}"#),
+    ] {
+        use salvo::prelude::{Depot, FlowCtrl, Handler};
+        let up = Up(with(View { healthy, ..view() }));
+        let (mut req, mut depot) = (Request::default(), Depot::new());
+        let (mut res, mut ctrl) = (Response::new(), FlowCtrl::new(vec![]));
+        Handler::handle(&up, &mut req, &mut depot, &mut res, &mut ctrl).await;
+        assert_eq!(
+            sent(res),
+            (status, " application/json".to_owned(), body.to_owned())
+        );
+    }
+}
--- a/src/controller/tests/formats.rs
+++ b/src/controller/tests/formats.rs
@@ -227,3 +227,42 @@
     w.pass(30.0);
     assert!(w.store.keys.contains_key(keys::FORMAT), "seen is enough");
 }
+
+/// What the version in production does not write, or only the fixtures lack.
+#[test]
+fn records_keep_their_form_with_and_without_each_optional_field() {
+    fn keeps<T: serde::Serialize + serde::de::DeserializeOwned>(text: &str) {
+        let read: T = serde_json::from_str(text).expect(text);
+        // As they are sent: through a value, whose fields are sorted.
+        let written = serde_json::to_value(read).expect(text).to_string();
+        assert_eq!(written, text);
+    }
+    use crate::blocks::{FormatRecord, MachineRecord};
+    keeps::<FormatRecord>(r#"{"level":1}"#);
+    keeps::<MemberRecord>(r#"{"addr":"127.0.0.1:9001","format":1,"tenure":7}"#);
+    keeps::<MemberRecord>(r#"{"addr":"127.0.0.1:9001","tenure":7}"#);
+    keeps::<MachineRecord>(
+        r#"{"a":"10.1.0.7:9000","b":"big","f":"move","s":true,"t":12,"u":true,"z":"x"}"#,
+    );
+    keeps::<MachineRecord>(r#"{"b":"big","f":"return","s":false,"t":0,"z":"x"}"#);
+    keeps::<MachineRecord>(r#"{"a":"10.1.0.7:9000","b":"big","s":false,"t":0,"z":"x"}"#);
+    keeps::<MachineRecord>(r#"{"b":"big","s":false,"t":0,"u":true,"z":"x"}"#);
+    let footprint = r#""footprint":{"request":{"cards":1.0,"cores":2.0,"mem":4.0},"team":"red"}"#;
+    keeps::<EndedRecord>(&format!(
+        r#"{{"at":1700000000000000,{footprint},"standing":"cancelled","tasks":4}}"#
+    ));
+    keeps::<EndedRecord>(r#"{"at":1700000000000000,"standing":"done","tasks":4}"#);
+    for standing in ["pending", "running", "done", "cancelled"] {
+        keeps::<EndedRecord>(&format!(r#"{{"standing":"{standing}","tasks":4}}"#));
+    }
+    keeps::<ProgressRecord>(r#"{"done":[],"owner":null,"running":0}"#);
+    for (form, rank) in [
+        ("sweep", "idle"),
+        ("service", "standard"),
+        ("sweep", "production"),
+    ] {
+        keeps::<JobRecord>(&format!(
+            r#"{{"at":1700000000000000,"born":9,"desc":{{"apart":true,"builds":["big","small"],"cards":1.0,"cores":2.0,"crew":"red","deck":"img-07","dueS":null,"form":"{form}","hands":4,"hinges":["j-2","j-1"],"id":"j-000412","loaners":false,"lot":"train","markS":5.0,"memGb":4.0,"oneZone":true,"rank":"{rank}","reckonS":10.0,"sizeGb":1.0,"stowS":2.0,"yard":"x"}}}}"#
+        ));
+    }
+}
--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -136,3 +136,6 @@
 fn contains(body: &[u8], what: &[u8]) -> bool {
     body.windows(what.len()).any(|w| w == what)
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/mesh/tests.rs
+++ b/src/mesh/tests.rs
@@ -30,3 +30,94 @@
     assert_eq!(decode(&frame[..5]), None);
     assert_eq!(decode(b""), None);
 }
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let hex = hex.replace(' ', "");
+    let byte = |i: usize| u8::from_str_radix(&hex[i..i + 2], 16).expect("a byte");
+    (0..hex.len()).step_by(2).map(byte).collect()
+}
+
+/// Read and written again, byte by byte as before.
+fn round_trip(hex: &str) -> Message {
+    let frame = bytes(hex);
+    let message = decode(&frame).expect(hex);
+    assert_eq!(encode(&message).expect(hex), frame);
+    message
+}
+
+#[test]
+fn every_kind_of_message_keeps_its_bytes() {
+    // Two blocks, and of each yes or no the other one than in the production fixtures.
+    let need =
+        "0000000000000440 000000000000f03f 0000000000003040 00 00 00 ac02 000000000000e03f 00";
+    let block = format!("ac02 f0a204 01 {need} 02 036d2d31 036d2d32");
+    let state = round_trip(&format!("02 00 026331 ac02 00 01 02 {block} 00 00 00 00"));
+    let request = crate::fairness::Resources::new(2.5, 1.0, 16.0);
+    let needs = vec![Need {
+        request,
+        builds: None,
+        zone: None,
+        spot: false,
+        count: 300,
+        estimate_s: 0.5,
+        waited_long: false,
+    }];
+    let block = |block, term, needs, dead| BlockState {
+        at: Micros::ZERO,
+        block: BlockId(block),
+        term: Term(term),
+        needs,
+        dead,
+    };
+    let full = block(300, 70_000, needs, vec!["m-1".into(), "m-2".into()]);
+    let expected = PeerState {
+        from: "c1".into(),
+        incarnation: Revision(300),
+        store_ok: false,
+        hears_workers: true,
+        blocks: vec![full, block(0, 0, vec![], vec![])],
+    };
+    assert_eq!(state, Message::PeerState(expected));
+    let cancelled = Message::Cancelled {
+        job: "j-412".into(),
+        revision: Revision(70_000),
+    };
+    assert_eq!(round_trip("02 01 056a2d343132 f0a204"), cancelled);
+}
+
+#[test]
+fn zone_evidence_keeps_its_bytes() {
+    use zone_failover::evidence::ZoneCounts;
+    let zones = "02 0178 ac02 28 03 02 8101 0179 05 00 01 00 00";
+    let evidence = round_trip(&format!("02 02 026331 ac02 f0a204 {zones}"));
+    let counts =
+        |zone: &str, [machines, silent, peers, silent_peers, waiting]: [u32; 5]| ZoneCounts {
+            zone: zone.into(),
+            machines,
+            silent,
+            peers,
+            silent_peers,
+            waiting,
+        };
+    let expected = ZoneEvidence {
+        from: "c1".into(),
+        incarnation: Revision(300),
+        sequence: 70_000,
+        zones: vec![
+            counts("x", [300, 40, 3, 2, 129]),
+            counts("y", [5, 0, 1, 0, 0]),
+        ],
+    };
+    assert_eq!(evidence, Message::ZoneEvidence(expected));
+    round_trip("02 02 00 00 00 00");
+    assert_eq!(decode(&bytes("02 03 00")), None, "a kind that is not known");
+}
+
+#[test]
+fn a_frame_follows_its_length_in_four_bytes() {
+    use tokio_util::codec::Encoder;
+    let mut sent = bytes::BytesMut::new();
+    let frame = Bytes::from(bytes("0201036a2d3107"));
+    codec().encode(frame, &mut sent).expect("it fits");
+    assert_eq!(sent[..], bytes("00000007 0201036a2d3107"));
+}
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -87,3 +87,53 @@
     assert_eq!(blocks(10_500.0, 8.0, 0.5), 1, "a larger controller");
     assert_eq!(blocks(1e6, 8.0, 0.056), 5, "one per controller at most");
 }
+
+#[test]
+fn settings_and_the_names_that_expressions_may_use_are_these() {
+    let settings_names = "block_load, idle_return_s, idle_return_ordinary_s, silent_s, rent_horizon_s, \
+                          weight, rent, spot";
+    let platform_names = "report_s, lease_s, cancel_s, controllers, guaranteed_cores, cpu_share";
+    let job_names =
+        "class, team, rank, tasks, cores, memory_gb, image_gb, estimate_s, due_s, has_deadline";
+    let ends = |text: &str, known: &str| {
+        let told = wrong(text);
+        assert!(told.ends_with(&format!("(known are {known})")), "{told}");
+    };
+    ends("zzz = 1;", settings_names);
+    ends("silent_s = zzz;", platform_names);
+    ends("weight = zzz;", &format!("{platform_names}, {job_names}"));
+}
+
+#[test]
+fn every_name_has_its_value_and_every_setting_its_place() {
+    let text = r#"block_load = 101; idle_return_s = 102; idle_return_ordinary_s = 103; silent_s = 104;
+        rent_horizon_s = 105; weight = 3; rent = 2;
+        spot = not (class == "train" and team == "red" and rank == "high" and tasks == 4
+            and cores == 2 and memory_gb == 4.5 and image_gb == 1 and estimate_s == 10
+            and due_s == 60 and has_deadline and report_s == 3 and lease_s == 30
+            and cancel_s == 61 and controllers == 5 and guaranteed_cores == 16
+            and cpu_share == 0.1 and min(1, 2) < max(2, 1) and clamp(9, 1, 2) >= 2);"#;
+    let mut s = settings();
+    (s.platform.workers.cancel_s, s.platform.initial_size) = (61.0, 5);
+    let p = Policy::parse(text, &s).expect("fine");
+    let times = [
+        p.idle_return,
+        p.idle_return_ordinary,
+        p.silent,
+        p.rent_horizon,
+    ];
+    assert_eq!(times.map(Micros::as_secs), [102.0, 103.0, 104.0, 105.0]);
+    let mut job = desc("j-1", 4);
+    job.mem = 4.5;
+    let JobChoice { weight, rent, spot } = p.job(&job);
+    assert_eq!((p.block_load, weight, rent, spot), (101.0, 3.0, 2.0, false));
+    for (name, rank) in [
+        ("idle", Rank::Idle),
+        ("standard", Rank::Standard),
+        ("production", Rank::Production),
+    ] {
+        job.rank = rank;
+        let p = Policy::parse(&format!("spot = rank != \"{name}\";"), &s).expect("fine");
+        assert!(!p.job(&job).spot, "{name}");
+    }
+}
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -126,3 +126,64 @@
             .contains("state.next.value_kb")
     );
 }
+
+#[test]
+fn every_field_is_read_from_its_place_in_the_file() {
+    let text = r#"{"label": "c7", "bind": "127.0.0.1:9100", "mesh_addr": "127.0.0.2:9101", "new": 1,
+        "seeds": [{"label": "c8", "area": "y", "addr": "127.0.0.3:9102", "new": 1},
+            {"label": "c9", "addr": "127.0.0.4:9103"}],
+        "endpoints": {"cloud": "127.0.0.5:9104", "state": "127.0.0.6:9105", "new": 1},
+        "settings": {"initial_size": 3, "zones": ["x", "y"], "new": 1,
+            "teams": [{"name": "red", "cpus": 8.5, "cpus_max": 16.5, "gpus": 1.5, "gpus_max": 2.5},
+                {"name": "guest", "new": 1}],
+            "objectives": [{"kind": "wait", "class": "train", "within_s": 12.5, "share": 0.9},
+                {"kind": "new"}],
+            "workers": {"report_s": 3.5, "lease_s": 31.5, "cancel_s": 61.5, "new": 1},
+            "state": {"rps": 101.5, "write_rps": 31.5, "value_kb": 17.5, "txn_ops": 18, "new": 1,
+                "next": {"rps": 91.5, "write_rps": 21.5, "value_kb": 7.5, "txn_ops": 8, "new": 1}},
+            "cloud": {"rps": 4.5, "list_lag_s": 5.5, "new": 1},
+            "limits": {"sockets": 1001, "ram_mb": 102.5, "cpu_share": 0.25, "new": 1}}}"#;
+    let s: Settings = serde_json::from_str(text).expect("settings");
+    assert_eq!(s.check(), Ok(()));
+    let addresses = [s.bind, s.mesh_addr, s.seeds[0].addr, s.seeds[1].addr];
+    let addresses = addresses
+        .into_iter()
+        .chain([s.endpoints.cloud, s.endpoints.state]);
+    let ports: Vec<(u8, u16)> = addresses.map(|a| (a.ip().octets()[3], a.port())).collect();
+    let expected = [
+        (1, 9100),
+        (2, 9101),
+        (3, 9102),
+        (4, 9103),
+        (5, 9104),
+        (6, 9105),
+    ];
+    assert_eq!(ports, expected);
+    let labels: Vec<&str> = s.controllers().map(Label::as_str).collect();
+    assert_eq!(labels, ["c7", "c8", "c9"]);
+    let zones = (s.seeds[0].zone.clone(), s.seeds[1].zone.clone());
+    assert_eq!(zones, (Some(ZoneId::from("y")), None));
+    let p = &s.platform;
+    assert_eq!((p.initial_size, p.zones.join(" ")), (3, "x y".to_owned()));
+    let of = |t: &Team| (t.name.clone(), [t.cpus, t.cpus_max, t.gpus, t.gpus_max]);
+    assert_eq!(of(&p.teams[0]), ("red".into(), [8.5, 16.5, 1.5, 2.5]));
+    assert_eq!(of(&p.teams[1]), ("guest".into(), [0.0; 4]));
+    let of = |o: &Objective| (o.kind.clone(), o.class.clone(), o.within_s);
+    assert_eq!(
+        of(&p.objectives[0]),
+        ("wait".into(), Some("train".into()), Some(12.5))
+    );
+    assert_eq!(of(&p.objectives[1]), ("new".into(), None, None));
+    assert_eq!(s.starts_within("train"), Some(Micros::from_secs(12.5)));
+    let w = &p.workers;
+    assert_eq!([w.report_s, w.lease_s, w.cancel_s], [3.5, 31.5, 61.5]);
+    let now = &p.state;
+    assert_eq!([now.rps, now.write_rps, now.value_kb], [101.5, 31.5, 17.5]);
+    let next = now.next.as_ref().expect("coming limits");
+    let rates = [next.rps, next.write_rps, next.value_kb];
+    assert_eq!(rates, [Some(91.5), Some(21.5), Some(7.5)]);
+    assert_eq!((now.txn_ops, next.txn_ops), (18, Some(8)));
+    assert_eq!([p.cloud.rps, p.cloud.list_lag_s], [4.5, 5.5]);
+    let limits = (p.limits.sockets, p.limits.ram_mb, p.limits.cpu_share);
+    assert_eq!(limits, (1001, Some(102.5), Some(0.25)));
+}
--- a/src/store/client/tests.rs
+++ b/src/store/client/tests.rs
@@ -87,6 +87,111 @@
     assert_eq!(told, Reply::Leased(LeaseId(7)));
 }
 
+#[test]
+fn transactions_keep_their_form() {
+    use super::super::{cond, delete, set, set_leased};
+    let conds = [
+        cond("r/x".into(), Revision(412)),
+        cond("r/y".into(), Revision(0)),
+    ];
+    let ops = [
+        set("r/x".into(), &json!({"b": [1.5, null], "a": "t"})),
+        set_leased("r/y".into(), &7, LeaseId(9)),
+        delete("r/z".into()),
+    ];
+    let body = r#"{"if":[{"k":"r/x","stamp":412},{"k":"r/y","stamp":0}],"then":[{"set":"r/x","value":{"a":"t","b":[1.5,null]}},{"set":"r/y","tenure":9,"value":7},{"delete":"r/z"}]}"#;
+    assert_eq!(txn_body(&conds, &ops).to_string(), body);
+    assert_eq!(txn_body(&[], &[]).to_string(), r#"{"if":[],"then":[]}"#);
+}
+
+#[test]
+fn changes_of_a_watch_are_parsed_from_their_wire_form() {
+    let log = r#"{"ledger":433,"new":1,"log":[
+        {"set":"r/x","value":{"a":1},"stamp":433,"tenure":9},{"set":"r/y","value":null,"stamp":431},
+        {"delete":"r/z","stamp":432}]}"#;
+    let log: Log = serde_json::from_str(log).expect("a log");
+    assert_eq!(log.ledger, 433);
+    let told: Vec<_> = log
+        .log
+        .iter()
+        .map(|c| {
+            (
+                c.set.as_deref(),
+                c.delete.as_deref(),
+                &c.value,
+                c.revision.0,
+            )
+        })
+        .collect();
+    let expected = [
+        (Some("r/x"), None, &json!({"a": 1}), 433),
+        (Some("r/y"), None, &Value::Null, 431),
+        (None, Some("r/z"), &Value::Null, 432),
+    ];
+    assert_eq!(told, expected);
+    for broken in [
+        r#"{"log":[]}"#,
+        r#"{"ledger":1}"#,
+        r#"{"ledger":1,"log":[{"set":"x"}]}"#,
+    ] {
+        assert!(serde_json::from_str::<Log>(broken).is_err(), "{broken}");
+    }
+}
+
+#[test]
+fn replies_are_read_by_request_and_status() {
+    let lease_id = LeaseId(7);
+    let get = Request::Get { key: "r/x".into() };
+    let list = Request::List {
+        starts: "r/".into(),
+        since: None,
+    };
+    let txn = Request::Txn {
+        conds: vec![],
+        ops: vec![],
+    };
+    let new = Request::NewLease { life: Micros(1) };
+    let (renew, end) = (Request::Renew { lease_id }, Request::EndLease { lease_id });
+    let row = |key: &str, value, revision| Row {
+        key: key.into(),
+        value,
+        revision: Revision(revision),
+    };
+    let x = row("r/x", json!({"a": 1}), 412);
+    let page = |rows, more, ledger| Reply::Rows { rows, more, ledger };
+    let rows = r#"{"rows":[{"k":"r/x","value":{"a":1},"stamp":412,"tenure":7},{"k":"r/y","value":null,"stamp":3}],"more":true,"ledger":433}"#;
+    let both = vec![x.clone(), row("r/y", Value::Null, 3)];
+    let told = |request, status, body: &str| read_reply(request, status, body.as_bytes());
+    let found = r#"{"k":"r/x","value":{"a":1},"stamp":412,"new":0}"#;
+    assert_eq!(told(&get, 200, found), Reply::Found(x));
+    assert_eq!(told(&get, 200, r#"{"k":"r/x","value":1}"#), Reply::Unknown);
+    assert_eq!(told(&get, 404, r#"{"error":"none"}"#), Reply::Missing);
+    assert_eq!(told(&list, 200, rows), page(both, true, 433));
+    let empty = page(vec![], false, 5);
+    assert_eq!(told(&list, 200, r#"{"rows":[],"ledger":5}"#), empty);
+    assert_eq!(told(&list, 200, r#"{"rows":[]}"#), Reply::Unknown);
+    let committed = Reply::Committed(Revision(434));
+    assert_eq!(told(&txn, 200, r#"{"ledger":434,"new":0}"#), committed);
+    let conflict = Reply::Conflict(vec!["a".into(), "b".into()]);
+    assert_eq!(told(&txn, 409, r#"{"failed":["a","b"]}"#), conflict);
+    assert_eq!(told(&txn, 409, r#"{"ledger":4}"#), Reply::Unknown);
+    let no_lease = r#"{"error":"no such lease"}"#;
+    assert_eq!(told(&txn, 400, no_lease), Reply::LeaseGone);
+    assert_eq!(told(&txn, 400, r#"{"error":"bad"}"#), Reply::Refused);
+    let leased = Reply::Leased(lease_id);
+    assert_eq!(told(&new, 200, r#"{"tenure":7,"lifeMs":1}"#), leased);
+    for request in [&renew, &end] {
+        assert_eq!(told(request, 200, "{}"), Reply::Done);
+        assert_eq!(told(request, 204, ""), Reply::Done);
+        assert_eq!(told(request, 404, ""), Reply::LeaseGone);
+    }
+    for request in [&get, &list, &txn, &new, &renew, &end] {
+        let told = |status| read_reply(request, status, b"");
+        assert_eq!((told(429), told(503)), (Reply::Refused, Reply::Refused));
+        assert_eq!((told(413), told(500)), (Reply::Refused, Reply::Unknown));
+    }
+}
+
 /// Seen as hundreds of refusals in the minutes after the limit had fallen to 21 a second.
 #[test]
 fn after_a_refusal_the_rate_rises_to_the_coming_limit_only() {
--- a/src/subsystems/tests.rs
+++ b/src/subsystems/tests.rs
@@ -76,3 +76,35 @@
         );
     }
 }
+
+#[test]
+fn the_file_that_is_deployed_names_the_values_that_hold_without_it() {
+    let text = include_str!("../../deploy/subsystems.toml");
+    let on = text.replace("enabled = false", "enabled = true");
+    let deployed = Subsystems::parse(&on, &settings()).expect("fine");
+    let short = Subsystems::parse("[zone-failover]\nenabled = true", &settings()).expect("fine");
+    let parts = |s: &Subsystems| {
+        let config = s.zone_failover.clone().expect("on");
+        (config.settings.clone(), config.order.clone())
+    };
+    assert_eq!(parts(&deployed), parts(&short));
+    // What is commented out is fine, too.
+    let all = on.replace("# [[", "[[");
+    let names = ["time-zone", "days", "from", "to", "zone", "state"];
+    let all = names.iter().fold(all, |t, n| {
+        t.replace(&format!("# {n} = "), &format!("{n} = "))
+    });
+    let all = all.replace("huonville-yard", "x");
+    let (all, _) = parts(&Subsystems::parse(&all, &settings()).expect("fine"));
+    assert_eq!((all.homecoming.windows.len(), all.declared.len()), (1, 1));
+}
+
+#[test]
+fn an_order_of_evacuation_may_use_these_names() {
+    let told = refused("[zone-failover]\nevacuation-priority = 'zzz'");
+    let names = "known are report_s, lease_s, cancel_s, controllers, guaranteed_cores, cpu_share, \
+                 class, team, rank, tasks, cores, memory_gb, image_gb, estimate_s, due_s, has_deadline, \
+                 rank_level, keeps_deadline, waited_s, service";
+    assert!(told.contains(names), "{told}");
+    assert!(refused("zzz = 1").ends_with("unknown field `zzz`, expected `zone-failover`"));
+}
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -193,3 +193,113 @@
     m.observe(Micros::from_secs(15.0), &next);
     assert_eq!(m.lease_from(), Micros::from_secs(15.0));
 }
+
+#[test]
+fn a_report_is_parsed_from_its_wire_form() {
+    let text = r#"{"rig":"m-000001","addr":"10.1.0.7:9000","build":"big","yard":"x","loaners":true,
+        "shift":5,"tally":61,"baton":1048577,"warningS":29.5,"new":"field","hands":[
+        {"hand":"j-000412/3","try":2097153,"standing":"running","cause":null,"new":1},
+        {"hand":"j-000412/4","try":2097154,"standing":"exited","cause":"done"}]}"#;
+    let task = |task: &str, attempt, phase, cause| TaskReport {
+        task: task.into(),
+        attempt: AttemptId(attempt),
+        phase,
+        cause,
+    };
+    let expected = Report {
+        machine: "m-000001".into(),
+        addr: "10.1.0.7:9000".into(),
+        build: "big".into(),
+        zone: "x".into(),
+        spot: true,
+        session: 5,
+        sequence: 61,
+        token: FencingToken(1_048_577),
+        warning_s: Some(29.5),
+        tasks: vec![
+            task("j-000412/3", 2_097_153, Phase::Running, None),
+            task("j-000412/4", 2_097_154, Phase::Exited, Some(Cause::Done)),
+        ],
+    };
+    let read: Report = serde_json::from_str(text).expect("a report");
+    assert_eq!(read, expected);
+    let whole: serde_json::Value = serde_json::from_str(text).expect("JSON");
+    for name in whole.as_object().expect("fields").keys() {
+        let mut without = whole.clone();
+        without.as_object_mut().expect("fields").remove(name);
+        let read = serde_json::from_value::<Report>(without);
+        let optional = ["warningS", "new"].contains(&name.as_str());
+        assert_eq!(read.is_ok(), optional, "without {name}");
+    }
+}
+
+#[test]
+fn phases_and_causes_of_a_report_keep_their_names() {
+    let task = |phase: &str, cause: &str| {
+        let text = format!(r#"{{"hand":"j-1/0","try":7,"standing":"{phase}"{cause}}}"#);
+        serde_json::from_str::<TaskReport>(&text).expect(&text)
+    };
+    let phases = [
+        ("pulling", Phase::Pulling),
+        ("running", Phase::Running),
+        ("saving", Phase::Saving),
+        ("exited", Phase::Exited),
+        // Ours alone: no report can claim it.
+        ("launching", Phase::Other),
+        ("frozen", Phase::Other),
+    ];
+    for (name, phase) in phases {
+        assert_eq!(task(name, "").phase, phase, "{name}");
+    }
+    let causes = [
+        ("done", Cause::Done),
+        ("stopped", Cause::Stopped),
+        ("error", Cause::Error),
+        ("no_room", Cause::NoRoom),
+        ("in_use", Cause::InUse),
+        ("unknown", Cause::Unknown),
+        ("melted", Cause::Other),
+    ];
+    for (name, cause) in causes {
+        let given = format!(r#","cause":"{name}""#);
+        assert_eq!(task("exited", &given).cause, Some(cause), "{name}");
+    }
+    assert_eq!(task("exited", r#","cause":null"#).cause, None);
+}
+
+#[test]
+fn the_answer_to_a_report_and_a_direct_command_keep_their_form() {
+    let (task, attempt) = (|| "j-000412/3".to_owned(), AttemptId(2_097_153));
+    let halt = Order::Halt {
+        task: task(),
+        attempt,
+        leeway_s: 2.5,
+    };
+    let launch = Order::Launch {
+        task: task(),
+        attempt,
+    };
+    let reap = Order::Reap {
+        task: task(),
+        attempt,
+    };
+    let orders = vec![launch, halt, reap];
+    let listed = r#"[{"hand":"j-000412/3","try":2097153,"verb":"launch"},{"hand":"j-000412/3","leewayS":2.5,"try":2097153,"verb":"halt"},{"hand":"j-000412/3","try":2097153,"verb":"reap"}]"#;
+    // As they are sent: through a value, whose fields are sorted.
+    let sent = |message: serde_json::Value| message.to_string();
+    let token = FencingToken(1_048_577);
+    let answer = Orders {
+        token,
+        orders: orders.clone(),
+        until: Micros(9),
+    };
+    let expected = format!(r#"{{"baton":1048577,"orders":{listed}}}"#);
+    assert_eq!(sent(serde_json::json!(answer)), expected);
+    let direct = Direct {
+        token,
+        session: 5,
+        orders,
+    };
+    let expected = format!(r#"{{"baton":1048577,"orders":{listed},"shift":5}}"#);
+    assert_eq!(sent(serde_json::json!(direct)), expected);
+}
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,7 +1,7 @@
 //! The command line: what a check says of the subsystems file, and what is refused before
 //! the start.
 
-use serde_json::json;
+use serde_json::{Value, json};
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
@@ -13,8 +13,8 @@
     path
 }
 
-fn settings() -> PathBuf {
-    let settings = json!({
+fn example() -> Value {
+    json!({
         "label": "c0", "bind": "127.0.0.1:9000", "mesh_addr": "127.0.0.1:9001", "seeds": [],
         "endpoints": {"cloud": "127.0.0.1:1", "state": "127.0.0.1:2"},
         "settings": {
@@ -25,15 +25,19 @@
             "cloud": {"rps": 4.0, "list_lag_s": 4.0},
             "limits": {"sockets": 1000}
         }
-    });
-    written("settings.json", &settings.to_string())
+    })
+}
+
+/// Each test has its own file: they run at once, and one that is being written is empty.
+fn settings(name: &str) -> PathBuf {
+    written(&format!("{name}.json"), &example().to_string())
 }
 
 fn check(name: &str, subsystems: &str) -> Output {
     Command::new(env!("CARGO_BIN_EXE_rockdeal"))
         .arg("check")
         .arg("--config")
-        .arg(settings())
+        .arg(settings(name))
         .arg("--subsystems")
         .arg(written(name, subsystems))
         .output()
@@ -69,3 +73,87 @@
     let place = "wrong.toml, line 3, column 8: zone \"w\" is unknown; known are x, y";
     assert!(told.trim_end().ends_with(place), "{told}");
 }
+
+/// The exit code, and what was printed, for these arguments and files.
+fn run(args: &[&str], files: &[&PathBuf]) -> (Option<i32>, String, String) {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_rockdeal"));
+    command.args(args);
+    for (option, file) in ["--config", "--policy"].iter().zip(files) {
+        command.arg(option).arg(file);
+    }
+    let done = command.output().expect("it runs");
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
+    (done.status.code(), text(done.stdout), text(done.stderr))
+}
+
+#[test]
+fn what_a_check_prints_keeps_its_form() {
+    let file = settings("good");
+    let fine = |more: &str| {
+        let path = file.display();
+        format!("{path}: fine; a block's lease is 20 s; blocks: 1{more}\n")
+    };
+    let told = run(&["check"], &[&file]);
+    assert_eq!(told, (Some(0), fine(""), String::new()));
+    let on = written("good.toml", "[zone-failover]\nenabled = true\n");
+    let on = on.display().to_string();
+    let told = run(&["check", "--subsystems", &on], &[&file]);
+    assert_eq!(told, (Some(0), fine("; on: zone-failover"), String::new()));
+    let policy = include_str!("../src/policy/default.policy").to_owned();
+    assert_eq!(run(&["policy"], &[]), (Some(0), policy, String::new()));
+}
+
+#[test]
+fn what_is_refused_before_the_start_is_told_in_one_line_with_its_exit_code() {
+    let refused = |code, why: String| (Some(code), String::new(), format!("rockdeal: {why}\n"));
+    let needed = "--config FILE is needed; see rockdeal --help".to_owned();
+    assert_eq!(run(&[], &[]), refused(2, needed));
+    let mut same = example();
+    same["mesh_addr"] = same["bind"].clone();
+    let good = settings("with-bad-policy");
+    let [missing, broken, empty, same, policy] = [
+        std::env::temp_dir().join("rockdeal-none/none.json"),
+        written("broken.json", "{"),
+        written("empty.json", "{}"),
+        written("same.json", &same.to_string()),
+        written("bad.policy", "\nsilnt_s = 5;"),
+    ];
+    let cases: [(&[&PathBuf], &str, &PathBuf, &str); 5] = [
+        (
+            &[&missing],
+            "can't read settings file ",
+            &missing,
+            ": No such file or directory (os error 2)",
+        ),
+        (
+            &[&broken],
+            "settings file ",
+            &broken,
+            " is malformed: EOF while parsing an object at line 1 column 1",
+        ),
+        (
+            &[&empty],
+            "settings file ",
+            &empty,
+            " is malformed: missing field `label` at line 1 column 2",
+        ),
+        (
+            &[&same],
+            "settings file ",
+            &same,
+            ": bind and mesh_addr are the same",
+        ),
+        (
+            &[&good, &policy],
+            "policy file ",
+            &policy,
+            ", line 2, column 1: silnt_s is no setting (did you mean silent_s?)",
+        ),
+    ];
+    for (files, before, file, after) in cases {
+        let expected = refused(1, format!("{before}{}{after}", file.display()));
+        assert_eq!(run(&["check"], files), expected);
+        assert_eq!(run(&[], files), expected, "nor does a controller start");
+    }
+    assert_eq!(run(&["chekc"], &[]).0, Some(2));
+}
