--- a/crates/rockdeal-types/src/clock.rs
+++ b/crates/rockdeal-types/src/clock.rs
@@ -64,12 +64,12 @@
 
 /// The process's steady clock. The cores never read it: they are told the time.
 #[derive(Debug, Clone, Copy)]
-pub struct Steady(std::time::Instant);
+pub struct MonotonicClock(std::time::Instant);
 
-impl Steady {
+impl MonotonicClock {
     /// A clock that starts now.
     pub fn start() -> Self {
-        Steady(std::time::Instant::now())
+        MonotonicClock(std::time::Instant::now())
     }
 
     /// The time since the start.
--- a/crates/rockdeal-types/src/ids.rs
+++ b/crates/rockdeal-types/src/ids.rs
@@ -94,7 +94,7 @@
 );
 number!(
     /// A block of machines and the teams whose work runs on them.
-    BlockId
+    PartitionId
 );
 
 /// Alike in order and in equality, so that maps by zone can be asked with plain text.
--- a/crates/zone-failover/src/leader.rs
+++ b/crates/zone-failover/src/leader.rs
@@ -88,7 +88,7 @@
 
 /// How new machines of a zone may be rented.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RentalAccess {
+pub enum ScaleOutAccess {
     /// As in any zone.
     Open,
     /// None.
@@ -304,19 +304,19 @@
     }
 
     /// Whether machines may be rented in a zone now.
-    pub fn rental_access(&self, now: Micros, id: &ZoneId) -> RentalAccess {
+    pub fn rental_access(&self, now: Micros, id: &ZoneId) -> ScaleOutAccess {
         let Some(zone) = self.zones.get(id).filter(|_| self.leadership.is_some()) else {
-            return RentalAccess::Open;
+            return ScaleOutAccess::Open;
         };
         let is_unseen = now.since(zone.last_seen) >= self.settings.health.probe_after;
         let probation_left = zone.health.probation_left(&self.settings.health);
         match zone.health.state() {
-            ZoneState::Healthy => RentalAccess::Open,
-            ZoneState::Probation if probation_left <= RENT_AHEAD => RentalAccess::Open,
+            ZoneState::Healthy => ScaleOutAccess::Open,
+            ZoneState::Probation if probation_left <= RENT_AHEAD => ScaleOutAccess::Open,
             // Guards against a zone that stays in its state for ever, whichever it is: with
             // its last machine returned, nothing tells of it any more.
-            _ if is_unseen && !zone.declared => RentalAccess::Probe,
-            _ => RentalAccess::Closed,
+            _ if is_unseen && !zone.declared => ScaleOutAccess::Probe,
+            _ => ScaleOutAccess::Closed,
         }
     }
 
--- a/crates/zone-failover/tests/leader.rs
+++ b/crates/zone-failover/tests/leader.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use zone_failover::evidence::{EvidenceTable, ZoneCounts, ZoneEvidence};
 use zone_failover::health::ZoneState;
-use zone_failover::leader::{Effect, Message, RentalAccess, ZoneLeader};
+use zone_failover::leader::{Effect, Message, ScaleOutAccess, ZoneLeader};
 use zone_failover::record::{RecordError, ZonesRecord};
 use zone_failover::settings::{DeclaredState, Settings};
 use zone_failover::view::ZoneView;
@@ -287,7 +287,7 @@
     );
     assert_eq!(
         world.leader.rental_access(world.now, &"x".into()),
-        RentalAccess::Closed,
+        ScaleOutAccess::Closed,
         "no probe"
     );
     let mut world = World::new(declare(DeclaredState::In));
@@ -304,7 +304,7 @@
         world.pass(seconds);
         assert_eq!(world.state("x"), state);
         let access = |w: &World| w.leader.rental_access(w.now, &"x".into());
-        assert_eq!(access(&world), RentalAccess::Closed);
+        assert_eq!(access(&world), ScaleOutAccess::Closed);
         // All its machines are gone: nobody tells anything of it.
         let silent = |world: &mut World| {
             world.sequence += 1;
@@ -318,12 +318,12 @@
             }
         };
         silent(&mut world);
-        assert_eq!(access(&world), RentalAccess::Probe);
+        assert_eq!(access(&world), ScaleOutAccess::Probe);
         let now = world.now;
         world.leader.probed(now, &"x".into());
-        assert_eq!(access(&world), RentalAccess::Closed, "one at a time");
+        assert_eq!(access(&world), ScaleOutAccess::Closed, "one at a time");
         silent(&mut world);
-        assert_eq!(access(&world), RentalAccess::Probe);
+        assert_eq!(access(&world), ScaleOutAccess::Probe);
     }
 }
 
@@ -338,10 +338,10 @@
     world.pass(5);
     let access = |w: &World| w.leader.rental_access(w.now, &"x".into());
     assert_eq!(world.state("x"), ZoneState::Probation);
-    assert_eq!(access(&world), RentalAccess::Closed);
+    assert_eq!(access(&world), ScaleOutAccess::Closed);
     world.pass(20);
     assert_eq!(world.state("x"), ZoneState::Probation);
-    assert_eq!(access(&world), RentalAccess::Open);
+    assert_eq!(access(&world), ScaleOutAccess::Open);
 }
 
 #[test]
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -4,18 +4,18 @@
 pub mod read_index;
 mod submissions;
 
-use crate::blocks::FormatLevel;
-use crate::clock::{Steady, time_of_day};
-use crate::controller::messages::{Answer, View};
-use crate::controller::{Arrived, Cancelled, Question, StatusQuery};
+use crate::clock::{MonotonicClock, time_of_day};
+use crate::controller::messages::{Answer, ApiView};
+use crate::controller::{Cancelled, HeartbeatRequest, Question, StatusQuery};
 use crate::ids::{JobId, Revision};
-use crate::jobs::{EndedRecord, JobDesc, JobRecord, Refusal, Standing};
+use crate::jobs::{EndedRecord, JobDesc, JobRecord, JobState, Refusal};
+use crate::partitions::FormatLevel;
 use crate::settings::Settings;
 use crate::settings::sockets::Sockets;
-use crate::store::{self, Reply, Request as Ask, cond, keys};
-use crate::workers::Report;
+use crate::store::{self, Reply, Request as Ask, compare, keys};
+use crate::workers::Heartbeat;
 use connection_limiter::ConnectionLimiter;
-use read_index::Found;
+use read_index::JobLookup;
 use salvo::conn::{Listener, TcpListener};
 use salvo::http::StatusCode;
 use salvo::http::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
@@ -39,11 +39,11 @@
 #[derive(Clone)]
 pub struct Ports {
     /// What the core has published.
-    pub view: watch::Receiver<Arc<View>>,
+    pub view: watch::Receiver<Arc<ApiView>>,
     /// Requests to the state service.
     pub questions: mpsc::Sender<Question>,
     /// Workers' reports.
-    pub reports: mpsc::Sender<Arrived>,
+    pub reports: mpsc::Sender<HeartbeatRequest>,
     /// Questions how a job stands.
     pub asks: mpsc::Sender<StatusQuery>,
     /// Cancellations that the store has confirmed.
@@ -53,7 +53,7 @@
 #[derive(Clone)]
 struct Api {
     settings: Arc<Settings>,
-    clock: Steady,
+    clock: MonotonicClock,
     ports: Ports,
 }
 
@@ -87,7 +87,7 @@
     Job {
         status: u16,
         id: JobId,
-        standing: Standing,
+        standing: JobState,
         counts: Option<(u32, u32)>,
     },
     /// Final: asking again does not help.
@@ -142,17 +142,17 @@
             .try_send(Question { request, answer })
             .is_err()
         {
-            return Reply::Refused;
+            return Reply::Rejected;
         }
         match tokio::time::timeout(Duration::from_millis(1_600), got).await {
             Ok(Ok(reply)) => reply,
-            _ => Reply::Unknown,
+            _ => Reply::Indeterminate,
         }
     }
 
     /// As fresh as a read of the store: a view that lags might give an older answer
     /// than one that some node has given before.
-    async fn find(&self, id: &JobId) -> Found {
+    async fn find(&self, id: &JobId) -> JobLookup {
         let (answer, got) = oneshot::channel();
         let id = id.clone();
         if self
@@ -161,11 +161,11 @@
             .try_send(StatusQuery { id, answer })
             .is_err()
         {
-            return Found::Unreadable;
+            return JobLookup::Unavailable;
         }
         match tokio::time::timeout(Duration::from_millis(1_900), got).await {
             Ok(Ok(found)) => found,
-            _ => Found::Unreadable,
+            _ => JobLookup::Unavailable,
         }
     }
 
@@ -175,8 +175,8 @@
             return UserAnswer::Rejected(ApiError::UnknownJob);
         }
         match self.find(&id).await {
-            Found::Nothing => UserAnswer::Rejected(ApiError::UnknownJob),
-            Found::Unreadable => NO_STORE,
+            JobLookup::NotFound => UserAnswer::Rejected(ApiError::UnknownJob),
+            JobLookup::Unavailable => NO_STORE,
             found => known(found, &id),
         }
     }
@@ -188,31 +188,37 @@
         }
         for _ in 0..TRIES {
             let (revision, tasks, footprint) = match self.find(&id).await {
-                Found::Live {
+                JobLookup::Live {
                     revision,
                     tasks,
                     footprint,
                     ..
                 } => (revision, tasks, footprint),
-                Found::Nothing => return UserAnswer::Rejected(ApiError::UnknownJob),
-                Found::Unreadable => return NO_STORE,
+                JobLookup::NotFound => return UserAnswer::Rejected(ApiError::UnknownJob),
+                JobLookup::Unavailable => return NO_STORE,
                 found => return known(found, &id),
             };
             let ended = EndedRecord {
-                standing: Standing::Cancelled,
+                state: JobState::Cancelled,
                 tasks,
                 footprint: Some(footprint),
-                at: Some(time_of_day()),
+                ended_at: Some(time_of_day()),
             };
-            let conds = vec![
-                cond(keys::job(&id), revision),
-                cond(keys::ended(&id), Revision(0)),
+            let compares = vec![
+                compare(keys::job(&id), revision),
+                compare(keys::ended(&id), Revision(0)),
             ];
-            let ops = vec![
+            let mutations = vec![
                 store::delete(keys::job(&id)),
-                store::set(keys::ended(&id), &ended),
+                store::put(keys::ended(&id), &ended),
             ];
-            match self.ask(Ask::Txn { conds, ops }).await {
+            match self
+                .ask(Ask::CompareAndSwap {
+                    compares,
+                    mutations,
+                })
+                .await
+            {
                 Reply::Committed(revision) => {
                     let job = id.clone();
                     // Full: whoever holds its block reads it from the store.
@@ -220,7 +226,7 @@
                     return UserAnswer::Job {
                         status: 200,
                         id,
-                        standing: Standing::Cancelled,
+                        standing: JobState::Cancelled,
                         counts: None,
                     };
                 }
@@ -233,14 +239,14 @@
     }
 
     async fn report(&self, body: &[u8]) -> (u16, Value) {
-        let Ok(report) = serde_json::from_slice::<Report>(body) else {
+        let Ok(report) = serde_json::from_slice::<Heartbeat>(body) else {
             return (400, json!({"error": "malformed report"}));
         };
         let (answer, got) = oneshot::channel();
         if self
             .ports
             .reports
-            .try_send(Arrived { report, answer })
+            .try_send(HeartbeatRequest { report, answer })
             .is_err()
         {
             return (503, json!({"error": "busy"}));
@@ -248,10 +254,10 @@
         match tokio::time::timeout(Duration::from_millis(3_000), got).await {
             // The last moment at which we can tell: an answer that stood still on its
             // way must not leave after the lease under which it was decided.
-            Ok(Ok(Answer::Orders(orders))) if self.clock.now() < orders.until => {
+            Ok(Ok(Answer::Accepted(orders))) if self.clock.now() < orders.valid_until => {
                 (200, json!(orders))
             }
-            Ok(Ok(Answer::Elsewhere(label))) => (421, json!({"answerTo": label})),
+            Ok(Ok(Answer::Redirect(label))) => (421, json!({"answerTo": label})),
             _ => (503, json!({"error": "not entitled to answer"})),
         }
     }
@@ -266,14 +272,14 @@
 }
 
 /// The answer about a job whose end was read.
-fn ended(row: &store::Row, id: &JobId) -> UserAnswer {
-    EndedRecord::read(row).map_or(NO_STORE, |record| known(Found::Ended(record), id))
+fn ended(row: &store::KeyValue, id: &JobId) -> UserAnswer {
+    EndedRecord::read(row).map_or(NO_STORE, |record| known(JobLookup::Ended(record), id))
 }
 
 /// The answer about a job that the store has.
-fn known(found: Found, id: &JobId) -> UserAnswer {
+fn known(found: JobLookup, id: &JobId) -> UserAnswer {
     match found {
-        Found::Live {
+        JobLookup::Live {
             standing,
             done,
             running,
@@ -284,8 +290,8 @@
             standing,
             counts: Some((done, running)),
         },
-        Found::Ended(e) => {
-            let done = if e.standing == Standing::Done {
+        JobLookup::Ended(e) => {
+            let done = if e.state == JobState::Done {
                 e.tasks
             } else {
                 0
@@ -293,11 +299,11 @@
             UserAnswer::Job {
                 status: 200,
                 id: id.clone(),
-                standing: e.standing,
+                standing: e.state,
                 counts: Some((done, 0)),
             }
         }
-        Found::Nothing | Found::Unreadable => NO_STORE,
+        JobLookup::NotFound | JobLookup::Unavailable => NO_STORE,
     }
 }
 
@@ -376,7 +382,7 @@
 pub async fn serve(
     settings: Arc<Settings>,
     sockets: &Sockets,
-    clock: Steady,
+    clock: MonotonicClock,
     ports: Ports,
 ) -> Result<(), String> {
     let bind = settings.bind;
--- a/src/api/read_index.rs
+++ b/src/api/read_index.rs
@@ -11,21 +11,21 @@
 use crate::ids::{JobId, Revision};
 use crate::jobs::dependencies::DependencyGraph;
 use crate::jobs::ranges::RangeSet;
-use crate::jobs::{EndedRecord, Footprint, Standing};
+use crate::jobs::{EndedRecord, Footprint, JobState};
 use crate::store::Reply;
-use crate::store::mirror::Mirror;
+use crate::watch_cache::WatchCache;
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, VecDeque};
 
 /// How a job stands.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Found {
+pub enum JobLookup {
     /// It is not over.
     Live {
         /// Of its record.
         revision: Revision,
         /// Whether any task runs.
-        standing: Standing,
+        standing: JobState,
         /// How many tasks it has.
         tasks: u32,
         /// What each of them takes.
@@ -38,22 +38,22 @@
     /// It is over.
     Ended(EndedRecord),
     /// No such job.
-    Nothing,
+    NotFound,
     /// It can't be told now.
-    Unreadable,
+    Unavailable,
 }
 
 /// What the index wants done.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Answer the question of this ticket.
-    Found(u64, Found),
+    AnswerJobLookup(u64, JobLookup),
     /// Read the record of an ended job.
     ReadEnded(JobId),
 }
 
 struct Question {
-    ticket: u64,
+    request_id: u64,
     id: JobId,
     at: Micros,
 }
@@ -62,7 +62,7 @@
 struct RecordRead {
     /// The read was sent after this.
     after: Micros,
-    tickets: Vec<u64>,
+    request_ids: Vec<u64>,
 }
 
 /// Questions that wait for a reading, and how jobs ended that were asked about.
@@ -82,15 +82,24 @@
 
 impl ReadIndex {
     /// A question. `hopeful`: readings have come of late.
-    pub fn ask(&mut self, now: Micros, id: JobId, ticket: u64, hopeful: bool) -> Option<Effect> {
+    pub fn ask(
+        &mut self,
+        now: Micros,
+        id: JobId,
+        request_id: u64,
+        hopeful: bool,
+    ) -> Option<Effect> {
         if let Some(rec) = self.ended.get(&id) {
-            return Some(Effect::Found(ticket, Found::Ended(rec.clone())));
+            return Some(Effect::AnswerJobLookup(
+                request_id,
+                JobLookup::Ended(rec.clone()),
+            ));
         }
         if !hopeful || self.waiting.len() >= MOST_WAITING {
-            return Some(Effect::Found(ticket, Found::Unreadable));
+            return Some(Effect::AnswerJobLookup(request_id, JobLookup::Unavailable));
         }
         self.waiting.push(Question {
-            ticket,
+            request_id,
             id,
             at: now,
         });
@@ -101,7 +110,7 @@
     pub fn reading(
         &mut self,
         sent: Micros,
-        mirror: &Mirror,
+        cache: &WatchCache,
         dependencies: &DependencyGraph,
     ) -> Vec<Effect> {
         let mut out = Vec::new();
@@ -112,18 +121,24 @@
                 continue;
             }
             if let Some(rec) = self.ended.get(&q.id) {
-                out.push(Effect::Found(q.ticket, Found::Ended(rec.clone())));
-            } else if let Some(found) = live(&q.id, mirror) {
+                out.push(Effect::AnswerJobLookup(
+                    q.request_id,
+                    JobLookup::Ended(rec.clone()),
+                ));
+            } else if let Some(found) = live(&q.id, cache) {
                 match dependencies.is_cancelled(&q.id) {
-                    Some(false) => out.push(Effect::Found(q.ticket, found)),
-                    Some(true) => out.push(Effect::Found(q.ticket, cancelled(found))),
+                    Some(false) => out.push(Effect::AnswerJobLookup(q.request_id, found)),
+                    Some(true) => out.push(Effect::AnswerJobLookup(q.request_id, cancelled(found))),
                     // Guards against an answer that goes back: another node may have told
                     // that it is cancelled with the one whose end is being read here.
                     None => self.waiting.push(q),
                 }
-            } else if mirror.unreadable_jobs.contains(&q.id) {
+            } else if cache.unreadable_jobs.contains(&q.id) {
                 // It was accepted: "no such job" would make it forgotten.
-                out.push(Effect::Found(q.ticket, Found::Unreadable));
+                out.push(Effect::AnswerJobLookup(
+                    q.request_id,
+                    JobLookup::Unavailable,
+                ));
             } else {
                 out.extend(self.read_record(q, sent));
             }
@@ -137,12 +152,12 @@
             Entry::Vacant(new) => {
                 new.insert(RecordRead {
                     after: now,
-                    tickets: vec![q.ticket],
+                    request_ids: vec![q.request_id],
                 });
                 Some(Effect::ReadEnded(q.id))
             }
             Entry::Occupied(mut out) if q.at <= out.get().after => {
-                out.get_mut().tickets.push(q.ticket);
+                out.get_mut().request_ids.push(q.request_id);
                 None
             }
             // Guards against a 404 for a job that was accepted and has ended since that
@@ -157,11 +172,13 @@
     /// The record of an ended job was read.
     pub fn ended(&mut self, id: JobId, reply: &Reply) -> Vec<Effect> {
         let found = match reply {
-            Reply::Found(row) => EndedRecord::read(row).map_or(Found::Unreadable, Found::Ended),
-            Reply::Missing => Found::Nothing,
-            _ => Found::Unreadable,
+            Reply::Value(row) => {
+                EndedRecord::read(row).map_or(JobLookup::Unavailable, JobLookup::Ended)
+            }
+            Reply::NotFound => JobLookup::NotFound,
+            _ => JobLookup::Unavailable,
         };
-        if let Found::Ended(rec) = &found
+        if let JobLookup::Ended(rec) = &found
             && self.ended.insert(id.clone(), rec.clone()).is_none()
         {
             self.order.push_back(id.clone());
@@ -171,9 +188,12 @@
                 self.ended.remove(&oldest);
             }
         }
-        let tickets = self.reading.remove(&id).map_or(Vec::new(), |r| r.tickets);
-        let tell = |t| Effect::Found(t, found.clone());
-        tickets.into_iter().map(tell).collect()
+        let request_ids = self
+            .reading
+            .remove(&id)
+            .map_or(Vec::new(), |r| r.request_ids);
+        let tell = |t| Effect::AnswerJobLookup(t, found.clone());
+        request_ids.into_iter().map(tell).collect()
     }
 
     /// Refuses what has waited for too long.
@@ -182,7 +202,10 @@
         self.waiting.retain(|q| {
             let keep = now.since(q.at) < PATIENCE;
             if !keep {
-                out.push(Effect::Found(q.ticket, Found::Unreadable));
+                out.push(Effect::AnswerJobLookup(
+                    q.request_id,
+                    JobLookup::Unavailable,
+                ));
             }
             keep
         });
@@ -190,20 +213,20 @@
     }
 }
 
-fn live(id: &JobId, mirror: &Mirror) -> Option<Found> {
-    let (revision, rec) = mirror.jobs.get(id)?;
+fn live(id: &JobId, cache: &WatchCache) -> Option<JobLookup> {
+    let (revision, rec) = cache.jobs.get(id)?;
     let mut running = 0;
     let mut done = RangeSet::default();
-    for (_, _, page) in mirror.progress(id) {
+    for (_, _, page) in cache.progress(id) {
         page.done.iter().for_each(|(a, b)| done.add(*a, *b));
         running += page.running;
     }
-    Some(Found::Live {
+    Some(JobLookup::Live {
         revision: *revision,
         standing: if running > 0 {
-            Standing::Running
+            JobState::Running
         } else {
-            Standing::Pending
+            JobState::Pending
         },
         tasks: rec.desc.tasks,
         footprint: rec.desc.footprint(),
@@ -213,15 +236,15 @@
 }
 
 /// A job that is cancelled with one before it, whether or not its own end is stored yet.
-fn cancelled(found: Found) -> Found {
+fn cancelled(found: JobLookup) -> JobLookup {
     match found {
-        Found::Live {
+        JobLookup::Live {
             tasks, footprint, ..
-        } => Found::Ended(EndedRecord {
-            standing: Standing::Cancelled,
+        } => JobLookup::Ended(EndedRecord {
+            state: JobState::Cancelled,
             tasks,
             footprint: Some(footprint),
-            at: None,
+            ended_at: None,
         }),
         found => found,
     }
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -26,23 +26,29 @@
             };
             let rec = JobRecord {
                 desc: job.clone(),
-                at: time_of_day(),
-                born,
+                accepted_at: time_of_day(),
+                accepted_term: born,
             };
-            let conds = vec![
-                cond(keys::job(&job.id), Revision(0)),
-                cond(keys::ended(&job.id), Revision(0)),
+            let compares = vec![
+                compare(keys::job(&job.id), Revision(0)),
+                compare(keys::ended(&job.id), Revision(0)),
                 // Under this grant: a later holder knows whether an earlier one can
                 // have started it.
-                cond(keys::holder(block), grant),
+                compare(keys::partition_owner(block), grant),
             ];
-            let ops = vec![store::set(keys::job(&job.id), &rec)];
-            match self.ask(Ask::Txn { conds, ops }).await {
+            let mutations = vec![store::put(keys::job(&job.id), &rec)];
+            match self
+                .ask(Ask::CompareAndSwap {
+                    compares,
+                    mutations,
+                })
+                .await
+            {
                 Reply::Committed(_) => {
                     return UserAnswer::Job {
                         status: 201,
                         id: job.id,
-                        standing: Standing::Pending,
+                        standing: JobState::Pending,
                         counts: None,
                     };
                 }
@@ -50,14 +56,16 @@
                 Reply::Conflict(failed) if failed.contains(&keys::ended(&job.id)) => {
                     let key = keys::ended(&job.id);
                     return match self.ask(Ask::Get { key }).await {
-                        Reply::Found(row) => ended(&row, &job.id),
+                        Reply::Value(row) => ended(&row, &job.id),
                         _ => NO_STORE,
                     };
                 }
-                Reply::Conflict(failed) if failed.iter().any(|k| *k != keys::holder(block)) => {
+                Reply::Conflict(failed)
+                    if failed.iter().any(|k| *k != keys::partition_owner(block)) =>
+                {
                     match self.find(&job.id).await {
                         // It ended and was read in between; look once more.
-                        Found::Nothing => {}
+                        JobLookup::NotFound => {}
                         found => return known(found, &job.id),
                     }
                 }
@@ -101,8 +109,8 @@
     pub(super) async fn accepted(&self, id: &JobId) -> Option<bool> {
         for key in [keys::job(id), keys::ended(id)] {
             match self.ask(Ask::Get { key }).await {
-                Reply::Found(_) => return Some(true),
-                Reply::Missing => {}
+                Reply::Value(_) => return Some(true),
+                Reply::NotFound => {}
                 _ => return None,
             }
         }
@@ -120,7 +128,7 @@
             _ => Ok(self.find(id).await),
         };
         match found {
-            Ok(Found::Nothing) | Err(_) => told,
+            Ok(JobLookup::NotFound) | Err(_) => told,
             Ok(found) => known(found, id),
         }
     }
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 use crate::clock::Micros;
-use crate::ids::{BlockId, Term};
+use crate::ids::{PartitionId, Term};
 use crate::jobs::tests::{body as job, types};
 use crate::settings::tests::settings;
-use crate::workers::Orders;
+use crate::workers::HeartbeatResponse;
 
-type Find = fn(&JobId) -> Found;
+type Find = fn(&JobId) -> JobLookup;
 type Answers = fn(&Ask) -> Reply;
 
 /// The users' side before a scripted store and core: what a transaction is answered,
 /// how jobs are found, and what a report is answered.
-fn api(view: View, store: Answers, find: Find, orders: Orders) -> Api {
+fn api(view: ApiView, store: Answers, find: Find, orders: HeartbeatResponse) -> Api {
     let (questions, mut asked) = mpsc::channel::<Question>(16);
-    let (reports, mut arrivals) = mpsc::channel::<Arrived>(16);
+    let (reports, mut arrivals) = mpsc::channel::<HeartbeatRequest>(16);
     let (asks, mut asking) = mpsc::channel::<StatusQuery>(16);
     let (cancels, mut cancelled) = mpsc::channel::<Cancelled>(16);
     tokio::spawn(async move {
@@ -27,14 +27,14 @@
     });
     tokio::spawn(async move {
         while let Some(a) = arrivals.recv().await {
-            let _ = a.answer.send(Answer::Orders(orders.clone()));
+            let _ = a.answer.send(Answer::Accepted(orders.clone()));
         }
     });
     tokio::spawn(async move { while cancelled.recv().await.is_some() {} });
     let (_, view) = watch::channel(Arc::new(view));
     Api {
         settings: Arc::new(settings()),
-        clock: Steady::start(),
+        clock: MonotonicClock::start(),
         ports: Ports {
             view,
             questions,
@@ -45,39 +45,39 @@
     }
 }
 
-fn view() -> View {
-    View {
+fn view() -> ApiView {
+    ApiView {
         types: Some(Arc::new(types())),
-        teams: vec![(BlockId(0), Revision(3), Term(1)); 2],
+        teams: vec![(PartitionId(0), Revision(3), Term(1)); 2],
         healthy: true,
         format: FormatLevel::NEWEST,
     }
 }
 
-fn orders(until: Micros) -> Orders {
+fn orders(until: Micros) -> HeartbeatResponse {
     let token = crate::ids::FencingToken(7);
     let orders = Vec::new();
-    Orders {
-        token,
-        orders,
-        until,
+    HeartbeatResponse {
+        fencing_token: token,
+        commands: orders,
+        valid_until: until,
     }
 }
 
-fn ended(standing: Standing) -> Found {
-    Found::Ended(EndedRecord {
-        standing,
+fn ended(standing: JobState) -> JobLookup {
+    JobLookup::Ended(EndedRecord {
+        state: standing,
         tasks: 4,
         footprint: None,
-        at: None,
+        ended_at: None,
     })
 }
 
-fn live() -> Found {
+fn live() -> JobLookup {
     let rec = crate::jobs::tests::rec("j-000412", 4, Term(1));
-    Found::Live {
+    JobLookup::Live {
         revision: Revision(5),
-        standing: Standing::Running,
+        standing: JobState::Running,
         tasks: 4,
         footprint: rec.desc.footprint(),
         done: 1,
@@ -85,7 +85,7 @@
     }
 }
 
-fn status(told: &UserAnswer) -> (u16, Option<Standing>) {
+fn status(told: &UserAnswer) -> (u16, Option<JobState>) {
     match told {
         UserAnswer::Job {
             status, standing, ..
@@ -95,7 +95,7 @@
     }
 }
 
-async fn submit(view: View, store: Answers, find: Find) -> UserAnswer {
+async fn submit(view: ApiView, store: Answers, find: Find) -> UserAnswer {
     let api = api(view, store, find, orders(Micros::ZERO));
     api.submit(job().to_string().as_bytes()).await
 }
@@ -104,29 +104,29 @@
 /// no to a job that is known makes it forgotten.
 #[tokio::test]
 async fn a_repeat_of_a_known_job_is_told_how_it_stands_whatever_else_is_wrong() {
-    let no_types = || View {
+    let no_types = || ApiView {
         types: None,
         ..view()
     };
-    let other_types = || View {
+    let other_types = || ApiView {
         types: Some(Arc::new(Vec::new())),
         ..view()
     };
-    let no_teams = || View {
+    let no_teams = || ApiView {
         teams: Vec::new(),
         ..view()
     };
     let stores: [Answers; 4] = [
-        |_| Reply::Refused,
-        |_| Reply::Unknown,
+        |_| Reply::Rejected,
+        |_| Reply::Indeterminate,
         // Its block changes hands all the time.
         |_| Reply::Conflict(vec!["r/blocks/0/holder".into()]),
         |_| Reply::Conflict(vec!["r/jobs/j-000412".into()]),
     ];
-    let finds: [(Find, Standing); 3] = [
-        (|_| live(), Standing::Running),
-        (|_| ended(Standing::Done), Standing::Done),
-        (|_| ended(Standing::Cancelled), Standing::Cancelled),
+    let finds: [(Find, JobState); 3] = [
+        (|_| live(), JobState::Running),
+        (|_| ended(JobState::Done), JobState::Done),
+        (|_| ended(JobState::Cancelled), JobState::Cancelled),
     ];
     for (find, standing) in finds {
         for store in stores {
@@ -140,10 +140,10 @@
 
 #[tokio::test]
 async fn a_new_job_that_cant_be_taken_is_refused_once_that_is_known() {
-    let nothing: Find = |_| Found::Nothing;
-    let unreadable: Find = |_| Found::Unreadable;
-    let refused: Answers = |_| Reply::Refused;
-    let types = |types| View { types, ..view() };
+    let nothing: Find = |_| JobLookup::NotFound;
+    let unreadable: Find = |_| JobLookup::Unavailable;
+    let refused: Answers = |_| Reply::Rejected;
+    let types = |types| ApiView { types, ..view() };
     let none = || types(Some(Arc::new(Vec::new())));
     assert_eq!(status(&submit(view(), refused, nothing).await).0, 503);
     assert_eq!(status(&submit(types(None), refused, nothing).await).0, 503);
@@ -151,14 +151,14 @@
     // It may have been accepted before: that can't be told now.
     assert_eq!(status(&submit(none(), refused, unreadable).await).0, 503);
     let told = submit(view(), |_| Reply::Committed(Revision(9)), nothing).await;
-    assert_eq!(status(&told), (201, Some(Standing::Pending)));
+    assert_eq!(status(&told), (201, Some(JobState::Pending)));
 }
 
 /// The store has just been lost: readings have come of late, so a lookup waits for the next.
 #[tokio::test]
 async fn a_refusal_for_now_does_not_wait_for_a_reading_that_may_not_come() {
-    let nothing: Find = |_| Found::Nothing;
-    let mut api = api(view(), |_| Reply::Refused, nothing, orders(Micros::ZERO));
+    let nothing: Find = |_| JobLookup::NotFound;
+    let mut api = api(view(), |_| Reply::Rejected, nothing, orders(Micros::ZERO));
     let (asks, _unanswered) = mpsc::channel(16);
     api.ports.asks = asks;
     let begun = std::time::Instant::now();
@@ -179,16 +179,21 @@
     };
     let find: Find = |_| {
         if ENDED.load(Ordering::Relaxed) {
-            ended(Standing::Done)
+            ended(JobState::Done)
         } else {
             live()
         }
     };
     let told = api(view(), lost, find, orders(Micros::ZERO));
     let told = told.abort("j-000412").await;
-    assert_eq!(status(&told), (200, Some(Standing::Done)));
+    assert_eq!(status(&told), (200, Some(JobState::Done)));
     // No answer to the write: it can't be said, and the repeat hears it.
-    let unsure = api(view(), |_| Reply::Unknown, |_| live(), orders(Micros::ZERO));
+    let unsure = api(
+        view(),
+        |_| Reply::Indeterminate,
+        |_| live(),
+        orders(Micros::ZERO),
+    );
     assert_eq!(status(&unsure.abort("j-000412").await).0, 503);
     let won = api(
         view(),
@@ -197,18 +202,18 @@
         orders(Micros::ZERO),
     );
     let told = won.abort("j-000412").await;
-    assert_eq!(status(&told), (200, Some(Standing::Cancelled)));
+    assert_eq!(status(&told), (200, Some(JobState::Cancelled)));
     let unknown = api(
         view(),
-        |_| Reply::Unknown,
-        |_| Found::Nothing,
+        |_| Reply::Indeterminate,
+        |_| JobLookup::NotFound,
         orders(Micros::ZERO),
     );
     assert_eq!(status(&unknown.abort("j-000412").await).0, 404);
     let blind = api(
         view(),
-        |_| Reply::Unknown,
-        |_| Found::Unreadable,
+        |_| Reply::Indeterminate,
+        |_| JobLookup::Unavailable,
         orders(Micros::ZERO),
     );
     assert_eq!(status(&blind.abort("j-000412").await).0, 503);
@@ -220,20 +225,20 @@
     let report = json!({"rig": "m-1", "addr": "a:1", "build": "big", "yard": "x", "loaners": false,
         "shift": 1, "tally": 1, "baton": 0, "hands": []});
     let report = report.to_string();
-    let none: Find = |_| Found::Nothing;
+    let none: Find = |_| JobLookup::NotFound;
     let within = api(
         view(),
-        |_| Reply::Unknown,
+        |_| Reply::Indeterminate,
         none,
         orders(Micros::from_secs(3_600.0)),
     );
     assert_eq!(within.report(report.as_bytes()).await.0, 200);
-    let after = api(view(), |_| Reply::Unknown, none, orders(Micros(1)));
+    let after = api(view(), |_| Reply::Indeterminate, none, orders(Micros(1)));
     assert_eq!(after.report(report.as_bytes()).await.0, 503);
 }
 
 /// A submission that names other jobs, before a store that holds some keys.
-async fn submit_naming(named: Value, view: View, store: Answers, find: Find) -> (u16, String) {
+async fn submit_naming(named: Value, view: ApiView, store: Answers, find: Find) -> (u16, String) {
     let mut body = job();
     body["hinges"] = named;
     let api = api(view, store, find, orders(Micros::ZERO));
@@ -249,7 +254,7 @@
 /// A store that has one live job and one that is over.
 fn two_jobs(request: &Ask) -> Reply {
     let row = |key: &str| {
-        Reply::Found(store::Row {
+        Reply::Value(store::KeyValue {
             key: key.into(),
             value: json!({}),
             revision: Revision(4),
@@ -257,14 +262,14 @@
     };
     match request {
         Ask::Get { key } if key == "r/jobs/j-1" || key == "ended/j-2" => row(key),
-        Ask::Get { .. } => Reply::Missing,
+        Ask::Get { .. } => Reply::NotFound,
         _ => Reply::Committed(Revision(9)),
     }
 }
 
 #[tokio::test]
 async fn a_submission_may_name_any_job_that_was_accepted_and_no_other() {
-    let nothing: Find = |_| Found::Nothing;
+    let nothing: Find = |_| JobLookup::NotFound;
     let name = |named| submit_naming(named, view(), two_jobs, nothing);
     assert_eq!(name(json!(["j-1"])).await.0, 201);
     assert_eq!(name(json!(["j-2", "j-1", "j-2"])).await.0, 201);
@@ -287,22 +292,22 @@
 
 #[tokio::test]
 async fn what_a_submission_names_is_refused_for_good_only_after_a_reading_that_lacks_it() {
-    let nothing: Find = |_| Found::Nothing;
-    let refused: Answers = |_| Reply::Refused;
+    let nothing: Find = |_| JobLookup::NotFound;
+    let refused: Answers = |_| Reply::Rejected;
     let named = json!(["j-1"]);
     let told = submit_naming(named.clone(), view(), refused, nothing).await;
     assert_eq!(told.0, 503);
     // The live record is surely gone, and whether there is one of its end can't be read.
     let half: Answers = |request| match request {
-        Ask::Get { key } if key.starts_with("r/jobs/") => Reply::Missing,
-        _ => Reply::Unknown,
+        Ask::Get { key } if key.starts_with("r/jobs/") => Reply::NotFound,
+        _ => Reply::Indeterminate,
     };
     let told = submit_naming(named.clone(), view(), half, nothing).await;
     assert_eq!(told.0, 503);
     // A repeat of a job that is known is told how it stands, whatever it names.
     let known: Find = |_| live();
     let has_it: Answers = |request| match request {
-        Ask::Txn { .. } => Reply::Conflict(vec!["r/jobs/j-000412".into()]),
+        Ask::CompareAndSwap { .. } => Reply::Conflict(vec!["r/jobs/j-000412".into()]),
         request => two_jobs(request),
     };
     for named in [json!(["j-3"]), json!(["j-000412"]), named] {
@@ -316,8 +321,8 @@
 /// A controller of the earlier version would start it at once.
 #[tokio::test]
 async fn a_job_that_names_others_is_taken_only_once_every_controller_understands_it() {
-    let nothing: Find = |_| Found::Nothing;
-    let old = || View {
+    let nothing: Find = |_| JobLookup::NotFound;
+    let old = || ApiView {
         format: FormatLevel(0),
         ..view()
     };
@@ -333,14 +338,14 @@
 async fn more_names_than_a_record_can_hold_are_refused_with_how_many_fit() {
     let names: Vec<String> = (0..2_000).map(|i| format!("j-{i:06}")).collect();
     let unasked: Answers = |_| panic!("nothing needs to be looked up");
-    let told = submit_naming(json!(names), view(), unasked, |_| Found::Nothing).await;
+    let told = submit_naming(json!(names), view(), unasked, |_| JobLookup::NotFound).await;
     assert_eq!(told.0, 422);
     let fitting = told.1.split(' ').find_map(|w| w.parse::<usize>().ok());
     assert_eq!(fitting, Some(2_000), "{}", told.1);
     let mut about = told.1.split(' ').filter_map(|w| w.parse::<usize>().ok());
     let about = about.next_back().expect("how many fit");
     let some = json!(names[..about - 20]);
-    let told = submit_naming(some, view(), |_| Reply::Missing, |_| Found::Nothing).await;
+    let told = submit_naming(some, view(), |_| Reply::NotFound, |_| JobLookup::NotFound).await;
     assert!(told.1.contains("never accepted"), "{}", told.1);
 }
 
@@ -349,20 +354,20 @@
 #[tokio::test]
 async fn a_repeat_of_a_job_that_is_over_is_answered_from_its_record() {
     let over: Answers = |request| match request {
-        Ask::Txn { .. } => Reply::Conflict(vec!["ended/j-000412".into()]),
-        Ask::Get { key } if key == "ended/j-000412" => Reply::Found(store::Row {
+        Ask::CompareAndSwap { .. } => Reply::Conflict(vec!["ended/j-000412".into()]),
+        Ask::Get { key } if key == "ended/j-000412" => Reply::Value(store::KeyValue {
             key: key.clone(),
             value: json!({"standing": "done", "tasks": 4}),
             revision: Revision(4),
         }),
-        _ => Reply::Missing,
+        _ => Reply::NotFound,
     };
     let unasked: Find = |_| panic!("no reading is waited for");
     let told = submit(view(), over, unasked).await;
-    assert_eq!(status(&told), (200, Some(Standing::Done)));
+    assert_eq!(status(&told), (200, Some(JobState::Done)));
     let unreadable: Answers = |request| match request {
-        Ask::Txn { .. } => Reply::Conflict(vec!["ended/j-000412".into()]),
-        _ => Reply::Unknown,
+        Ask::CompareAndSwap { .. } => Reply::Conflict(vec!["ended/j-000412".into()]),
+        _ => Reply::Indeterminate,
     };
     assert_eq!(status(&submit(view(), unreadable, unasked).await).0, 503);
 }
@@ -394,7 +399,7 @@
         (503, "1 application/json".to_owned(), body)
     };
     let taken: Answers = |_| Reply::Committed(Revision(9));
-    let new: Find = |_| Found::Nothing;
+    let new: Find = |_| JobLookup::NotFound;
     let told = rendered(submit(view(), taken, new).await);
     assert_eq!(
         told,
@@ -410,11 +415,11 @@
     assert_eq!(cancelled, expected);
     let over: [(Find, &str); 2] = [
         (
-            |_| ended(Standing::Done),
+            |_| ended(JobState::Done),
             r#"{"done":4,"id":"j-000412","running":0,"standing":"done"}"#,
         ),
         (
-            |_| ended(Standing::Cancelled),
+            |_| ended(JobState::Cancelled),
             r#"{"done":0,"id":"j-000412","running":0,"standing":"cancelled"}"#,
         ),
     ];
@@ -436,9 +441,9 @@
     other["crew"] = json!("green");
     let told = rendered(unknown.submit(other.to_string().as_bytes()).await);
     assert_eq!(told, gives(422, r#"{"error":"unknown team green"}"#));
-    let told = rendered(with(|_| Found::Unreadable).status("j-1").await);
+    let told = rendered(with(|_| JobLookup::Unavailable).status("j-1").await);
     assert_eq!(told, later("the state service can't be reached"));
-    let types = View {
+    let types = ApiView {
         types: None,
         ..view()
     };
@@ -450,7 +455,14 @@
 async fn answers_to_workers_and_to_health_checks_keep_their_form() {
     let report = r#"{"rig":"m-1","addr":"a:1","build":"big","yard":"x","loaners":false,"shift":1,"tally":1,"baton":0,"hands":[]}"#;
     let hour = orders(Micros::from_secs(3_600.0));
-    let with = |view| api(view, |_| Reply::Unknown, |_| Found::Nothing, hour.clone());
+    let with = |view| {
+        api(
+            view,
+            |_| Reply::Indeterminate,
+            |_| JobLookup::NotFound,
+            hour.clone(),
+        )
+    };
     let mut api = with(view());
     let told = api.report(report.as_bytes()).await;
     assert_eq!(
@@ -462,11 +474,11 @@
         (told.0, told.1.to_string().as_str()),
         (400, r#"{"error":"malformed report"}"#)
     );
-    let (reports, mut arrivals) = mpsc::channel::<Arrived>(16);
+    let (reports, mut arrivals) = mpsc::channel::<HeartbeatRequest>(16);
     api.ports.reports = reports;
     tokio::spawn(async move {
         let first = arrivals.recv().await.expect("a report");
-        let _ = first.answer.send(Answer::Elsewhere("c1".into()));
+        let _ = first.answer.send(Answer::Redirect("c1".into()));
         drop(arrivals.recv().await);
     });
     let told = api.report(report.as_bytes()).await;
@@ -482,7 +494,7 @@
         (false, 503, r#"{"up":false}"#),
     ] {
         use salvo::prelude::{Depot, FlowCtrl, Handler};
-        let up = Up(with(View { healthy, ..view() }));
+        let up = Up(with(ApiView { healthy, ..view() }));
         let (mut req, mut depot) = (Request::default(), Depot::new());
         let (mut res, mut ctrl) = (Response::new(), FlowCtrl::new(vec![]));
         Handler::handle(&up, &mut req, &mut depot, &mut res, &mut ctrl).await;
--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -10,25 +10,25 @@
 mod zones;
 
 use crate::api::read_index::{self, ReadIndex};
-use crate::blocks::holder::{self, Holder};
-use crate::blocks::lease::Lease;
-use crate::blocks::member::Member;
-use crate::blocks::{FormatLevel, FormatRecord, LeaderRecord, leader};
 use crate::clock::Micros;
-use crate::controller::messages::{Answer, DirectAnswer, Effect, Input, StoreOperation, View};
+use crate::controller::messages::{Answer, ApiView, DirectAnswer, Effect, Input, StoreOperation};
 use crate::fairness::Resources;
-use crate::fleet::manager::{self, Manager, Types};
+use crate::fleet::autoscaler::{self, Autoscaler, MachineTypes};
 use crate::fleet::{CloudReply, CloudRequest};
-use crate::ids::{BlockId, JobId, Label, Revision, Term};
+use crate::ids::{JobId, Label, PartitionId, Revision, Term};
 use crate::jobs::dependencies::{DependencyGraph, JobEnd};
-use crate::mesh::{BlockState, Message, PeerState};
-use crate::placement::Need;
+use crate::mesh::{Message, PartitionState, PeerState};
+use crate::partitions::lease::Lease;
+use crate::partitions::membership::Membership;
+use crate::partitions::owner::{self, OwnedPartition};
+use crate::partitions::{FormatLevel, FormatRecord, LeaderRecord, leader};
+use crate::placement::CapacityRequest;
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::store::mirror::{Mirror, Touched};
-use crate::store::{self, Change, Reply, Request, Urgency, cond, keys};
+use crate::store::{self, Reply, Request, RequestPriority, WatchEvent, compare, keys};
 use crate::subsystems::Subsystems;
-use crate::workers::Report;
+use crate::watch_cache::{CacheChange, WatchCache};
+use crate::workers::Heartbeat;
 use crate::zones::ZoneFailover;
 use effects::{holder_effect, read_ended, read_index_effect, vital};
 use std::collections::{BTreeMap, BTreeSet};
@@ -39,23 +39,23 @@
 pub struct Core {
     settings: Rc<Settings>,
     policy: Rc<Policy>,
-    mirror: Mirror,
+    cache: WatchCache,
     /// The store's revision that the mirror has reached, and when the reading
     /// that reached it was asked for.
     seen: Revision,
     read: Micros,
-    member: Member,
+    member: Membership,
     /// For the leader's key alone.
     leading_lease: Lease,
-    manager: Manager,
-    held: BTreeMap<BlockId, Holder>,
+    manager: Autoscaler,
+    held: BTreeMap<PartitionId, OwnedPartition>,
     read_index: ReadIndex,
     dependencies: DependencyGraph,
     /// A block has come to us, and its jobs know nothing of the graph yet.
     dependencies_unsynced: bool,
     /// The newest format that each controller was seen with.
     formats: BTreeMap<Label, FormatLevel>,
-    types: Option<Types>,
+    types: Option<MachineTypes>,
     peers: BTreeMap<Label, (Micros, PeerState)>,
     joined: BTreeMap<Label, (Revision, Micros)>,
     /// Cancelled at revisions that our reading has not reached.
@@ -73,8 +73,8 @@
     last_publish: Micros,
     last_collection: Micros,
     fleet: Resources,
-    view: Arc<View>,
-    needs: BTreeMap<BlockId, Vec<Need>>,
+    view: Arc<ApiView>,
+    needs: BTreeMap<PartitionId, Vec<CapacityRequest>>,
     /// None: zone failover is off.
     zones: Option<ZoneFailover>,
 }
@@ -94,18 +94,18 @@
 impl Core {
     /// A controller that has just started and knows nothing of the store.
     pub fn new(settings: Rc<Settings>, policy: Rc<Policy>, now: Micros) -> Self {
-        let member = Member::new(
+        let member = Membership::new(
             settings.label.clone(),
             settings.mesh_addr.to_string(),
             settings.lease(),
-            settings.act_for(),
+            settings.lease_validity(),
         );
         Core {
             leading_lease: Lease::new(LEADER_LEASE.min(settings.lease())),
-            manager: Manager::new(&settings, &policy),
+            manager: Autoscaler::new(&settings, &policy),
             settings,
             policy,
-            mirror: Mirror::default(),
+            cache: WatchCache::default(),
             seen: Revision(0),
             read: Micros::ZERO,
             member,
@@ -149,23 +149,27 @@
     }
 
     /// Takes one message in and says what is to be done. `now` is the steady clock, `day` the time of day.
-    pub fn handle(&mut self, now: Micros, day: Micros, input: Input) -> Vec<Effect> {
+    pub fn handle(&mut self, now: Micros, wall_clock: Micros, input: Input) -> Vec<Effect> {
         let mut out = Vec::new();
         match input {
-            Input::Tick => self.tick(now, day, &mut out),
-            Input::Loaded { rows, ledger, sent } => {
-                self.mirror.load(rows);
-                self.seen = Revision(ledger);
+            Input::Tick => self.tick(now, wall_clock, &mut out),
+            Input::Loaded {
+                entries: rows,
+                revision,
+                requested_at: sent,
+            } => {
+                self.cache.load(rows);
+                self.seen = Revision(revision);
                 self.read = sent;
                 // Guards against a picture made anew under the same term: its tokens
                 // and attempts would repeat, and copies of old reports would count.
-                let before: Vec<BlockId> = self.held.keys().copied().collect();
-                self.dependencies.reload(now, &self.mirror.jobs);
+                let before: Vec<PartitionId> = self.held.keys().copied().collect();
+                self.dependencies.reload(now, &self.cache.jobs);
                 self.changed(now, &mut out);
                 let types = self.types.clone().unwrap_or_default();
                 for b in before {
                     if let Some(h) = self.held.get_mut(&b) {
-                        h.reload(now, &self.mirror, &types);
+                        h.reload(now, &self.cache, &types);
                     }
                 }
                 self.stop_cancelled();
@@ -173,33 +177,43 @@
                 self.sync_dependencies(now, &mut out);
                 self.answer_reading(sent, &mut out);
             }
-            Input::Changes { log, ledger, sent } => self.changes(now, log, ledger, sent, &mut out),
-            Input::Stored { tag, reply } => self.stored(now, tag, &reply, &mut out),
-            Input::CheckIn { report, ticket } => {
-                let answer = self.check_in(now, day, &report);
-                out.push(Effect::Answer { ticket, answer });
+            Input::Changes {
+                events: log,
+                revision,
+                requested_at: sent,
+            } => self.changes(now, log, revision, sent, &mut out),
+            Input::StoreReply {
+                operation: tag,
+                reply,
+            } => self.stored(now, tag, &reply, &mut out),
+            Input::Heartbeat {
+                heartbeat: report,
+                request_id,
+            } => {
+                let answer = self.check_in(now, wall_clock, &report);
+                out.push(Effect::AnswerHeartbeat { request_id, answer });
             }
-            Input::Ask { id, ticket } => {
+            Input::JobLookup { id, request_id } => {
                 // Without a reading of late there is none to wait for.
-                let hopeful = self.mirror.loaded && now.since(self.read) < STALE;
-                let asked = self.read_index.ask(now, id, ticket, hopeful);
+                let hopeful = self.cache.loaded && now.since(self.read) < STALE;
+                let asked = self.read_index.ask(now, id, request_id, hopeful);
                 out.extend(asked.map(read_index_effect));
             }
-            Input::DirectAnswer {
-                block,
+            Input::DirectCommandReply {
+                partition: block,
                 term,
                 machine,
                 answer,
             } => {
                 if let Some(h) = self.held.get_mut(&block).filter(|h| h.term == term) {
                     match answer {
-                        DirectAnswer::Report(r) => h.direct_answer(now, &machine, Some(r)),
-                        DirectAnswer::Lost => h.direct_answer(now, &machine, None),
+                        DirectAnswer::Heartbeat(r) => h.direct_answer(now, &machine, Some(r)),
+                        DirectAnswer::Indeterminate => h.direct_answer(now, &machine, None),
                         DirectAnswer::NotSent => h.direct_not_sent(now, &machine),
                     }
                 }
             }
-            Input::Cloud { request, reply } => self.cloud(now, request, reply, &mut out),
+            Input::CloudReply { request, reply } => self.cloud(now, request, reply, &mut out),
             Input::Mesh(message) => self.hear(now, message),
             Input::Cancelled { job, revision } => {
                 self.dependencies.end_stored(&job, JobEnd::Cancelled);
@@ -215,7 +229,7 @@
     pub fn hear(&mut self, now: Micros, message: Message) {
         match message {
             Message::PeerState(news) => {
-                self.peers.insert(news.from.clone(), (now, news));
+                self.peers.insert(news.sender.clone(), (now, news));
             }
             Message::Cancelled { job, revision } => self.cancelled(job, revision),
             Message::ZoneEvidence(evidence) => {
@@ -252,16 +266,16 @@
 
     /// Decisions and writes of the held blocks. Not after each message: what many
     /// messages changed is decided once.
-    fn drive(&mut self, now: Micros, day: Micros, out: &mut Vec<Effect>) {
+    fn drive(&mut self, now: Micros, wall_clock: Micros, out: &mut Vec<Effect>) {
         let fleet = self.fleet;
         let until = self.member.acts_until(self.read);
         for (b, h) in &mut self.held {
-            h.tick(now, day, fleet);
+            h.tick(now, wall_clock, fleet);
             let term = h.term;
             let mut effects = h.directs(now);
-            effects.extend(h.writes(now, day));
+            effects.extend(h.writes(now, wall_clock));
             effects.extend(h.reads(now));
-            effects.extend(h.open(now, &self.mirror));
+            effects.extend(h.open(now, &self.cache));
             out.extend(
                 effects
                     .into_iter()
@@ -270,34 +284,34 @@
         }
     }
 
-    fn check_in(&mut self, now: Micros, day: Micros, r: &Report) -> Answer {
+    fn check_in(&mut self, now: Micros, wall_clock: Micros, r: &Heartbeat) -> Answer {
         // Not recorded in a block, or given up: nobody may answer with a token. A
         // report alone never makes a machine one of ours: it may be a late copy.
-        let found = self.mirror.machine(&r.machine);
-        let Some(((b, _), _)) = found.filter(|(_, m)| m.freed.is_none()) else {
-            return Answer::NotNow;
+        let found = self.cache.machine(&r.machine);
+        let Some(((b, _), _)) = found.filter(|(_, m)| m.release_reason.is_none()) else {
+            return Answer::Unavailable;
         };
-        let Some((_, rec)) = self.mirror.holders.get(&b) else {
-            return Answer::NotNow;
+        let Some((_, rec)) = self.cache.holders.get(&b) else {
+            return Answer::Unavailable;
         };
-        if rec.holder != self.settings.label {
-            let alive = self.mirror.holder_alive(rec);
+        if rec.owner != self.settings.label {
+            let alive = self.cache.holder_alive(rec);
             return if alive {
-                Answer::Elsewhere(rec.holder.clone())
+                Answer::Redirect(rec.owner.clone())
             } else {
-                Answer::NotNow
+                Answer::Unavailable
             };
         }
         let until = self.member.acts_until(self.read);
         if now >= until {
-            return Answer::NotNow;
+            return Answer::Unavailable;
         }
         let fleet = self.fleet;
         let orders = self
             .held
             .get_mut(&b)
-            .and_then(|h| h.check_in(now, day, fleet, until, r));
-        orders.map_or(Answer::NotNow, Answer::Orders)
+            .and_then(|h| h.check_in(now, wall_clock, fleet, until, r));
+        orders.map_or(Answer::Unavailable, Answer::Accepted)
     }
 
     /// One request of a kind at a time; a kind that hangs is freed in the end.
@@ -313,12 +327,12 @@
         true
     }
 
-    fn tick(&mut self, now: Micros, day: Micros, out: &mut Vec<Effect>) {
+    fn tick(&mut self, now: Micros, wall_clock: Micros, out: &mut Vec<Effect>) {
         if let Some(request) = self.member.step(now) {
-            out.push(Effect::Store {
-                tag: StoreOperation::Member,
+            out.push(Effect::StoreRequest {
+                operation: StoreOperation::Membership,
                 request,
-                urgency: Urgency::Vital,
+                priority: RequestPriority::Critical,
             });
         }
         if now.since(self.last_publish) >= PUBLISH_EVERY {
@@ -331,8 +345,8 @@
                 .map(read_index_effect),
         );
         self.sync_dependencies(now, out);
-        if self.mirror.loaded && self.types.is_none() && self.claim(now, "types") {
-            out.push(Effect::Cloud(CloudRequest::Types));
+        if self.cache.loaded && self.types.is_none() && self.claim(now, "types") {
+            out.push(Effect::Cloud(CloudRequest::MachineTypes));
         }
         if !self.acting(now) {
             self.tell_alive(now, out);
@@ -340,9 +354,9 @@
         }
         self.sync_zones(now);
         self.lead(now, out);
-        self.lead_zones(now, day, out);
-        self.drive(now, day, out);
-        self.tell(now, day, out);
+        self.lead_zones(now, wall_clock, out);
+        self.drive(now, wall_clock, out);
+        self.tell(now, wall_clock, out);
         self.resign(now, out);
         self.tidy(now, out);
     }
@@ -352,11 +366,7 @@
         self.held.values().map(|h| h.machines_compared).sum()
     }
 
-    fn leading(&self) -> Option<store::Cond> {
-        leader::as_leader(
-            &self.mirror,
-            &self.settings.label,
-            self.member.incarnation(),
-        )
+    fn leading(&self) -> Option<store::Compare> {
+        leader::as_leader(&self.cache, &self.settings.label, self.member.incarnation())
     }
 }
--- a/src/controller/core/effects.rs
+++ b/src/controller/core/effects.rs
@@ -2,57 +2,72 @@
 
 use super::*;
 
-pub(super) fn vital(tag: StoreOperation, conds: Vec<store::Cond>, ops: Vec<store::Op>) -> Effect {
-    Effect::Store {
-        tag,
-        request: Request::Txn { conds, ops },
-        urgency: Urgency::Vital,
+pub(super) fn vital(
+    tag: StoreOperation,
+    compares: Vec<store::Compare>,
+    mutations: Vec<store::Mutation>,
+) -> Effect {
+    Effect::StoreRequest {
+        operation: tag,
+        request: Request::CompareAndSwap {
+            compares,
+            mutations,
+        },
+        priority: RequestPriority::Critical,
     }
 }
 
 pub(super) fn read_ended(tag: StoreOperation, id: &JobId) -> Effect {
-    Effect::Store {
-        tag,
+    Effect::StoreRequest {
+        operation: tag,
         request: Request::Get {
             key: keys::ended(id),
         },
-        urgency: Urgency::Prompt,
+        priority: RequestPriority::Normal,
     }
 }
 
 pub(super) fn read_index_effect(e: read_index::Effect) -> Effect {
     match e {
-        read_index::Effect::Found(ticket, found) => Effect::Found { ticket, found },
-        read_index::Effect::ReadEnded(id) => read_ended(StoreOperation::Ended(id.clone()), &id),
+        read_index::Effect::AnswerJobLookup(request_id, found) => Effect::AnswerJobLookup {
+            request_id,
+            lookup: found,
+        },
+        read_index::Effect::ReadEnded(id) => {
+            read_ended(StoreOperation::EndedJobLookup(id.clone()), &id)
+        }
     }
 }
 
 pub(super) fn holder_effect(
-    block: BlockId,
+    block: PartitionId,
     term: Term,
     until: Micros,
-    e: holder::Effect,
+    e: owner::Effect,
 ) -> Effect {
     match e {
-        holder::Effect::Do(machine, addr, direct) => Effect::Do {
-            block,
+        owner::Effect::SendDirectCommand(machine, addr, direct) => Effect::SendDirectCommand {
+            partition: block,
             term,
             machine,
             addr,
-            direct,
-            until,
+            command: direct,
+            send_before: until,
         },
-        holder::Effect::ReadEnded(id) => {
+        owner::Effect::ReadEnded(id) => {
             read_ended(StoreOperation::UnknownJob(block, term, id.clone()), &id)
         }
-        holder::Effect::Txn(write, conds, ops) => Effect::Store {
+        owner::Effect::CompareAndSwap(write, compares, mutations) => Effect::StoreRequest {
             // Where changes are short, progress waits for all the others.
-            urgency: match write {
-                holder::Write::Progress { .. } => Urgency::Spare,
-                _ => Urgency::Prompt,
+            priority: match write {
+                owner::Write::Progress { .. } => RequestPriority::Background,
+                _ => RequestPriority::Normal,
+            },
+            operation: StoreOperation::OwnedPartition(block, term, write),
+            request: Request::CompareAndSwap {
+                compares,
+                mutations,
             },
-            tag: StoreOperation::Holder(block, term, write),
-            request: Request::Txn { conds, ops },
         },
     }
 }
--- a/src/controller/core/health.rs
+++ b/src/controller/core/health.rs
@@ -11,7 +11,7 @@
     /// Whether users should come here: not while we lack the store and another
     /// node has it. In an outage all lack it, and nobody gains from a removal.
     pub(super) fn healthy(&self, now: Micros) -> bool {
-        if !self.mirror.loaded {
+        if !self.cache.loaded {
             return false;
         }
         if now.since(self.read) < UNHEALTHY_AFTER {
@@ -25,11 +25,11 @@
         // Without the store and without any peer we can't tell an outage from a cut
         // of our own, and being the odd one out is the likelier.
         let alone = fresh.peek().is_none() && !self.settings.seeds.is_empty();
-        !alone && !fresh.any(|(_, n)| n.store_ok)
+        !alone && !fresh.any(|(_, n)| n.store_reachable)
     }
 
     pub(super) fn store_ok(&self, now: Micros) -> bool {
-        self.mirror.loaded && now.since(self.read) < STALE
+        self.cache.loaded && now.since(self.read) < STALE
     }
 
     /// Whether a member shows signs of life and hears its workers.
@@ -40,7 +40,7 @@
         let joined = self.joined.get(label).map_or(Micros::ZERO, |(_, at)| *at);
         match self.peers.get(label) {
             Some((at, news)) => {
-                let able = news.hears_workers && news.store_ok;
+                let able = news.workers_reachable && news.store_reachable;
                 now.since((*at).max(joined)) < SILENT_PEER && (able || joined > *at)
             }
             None => now.since(joined) < SILENT_PEER,
@@ -50,7 +50,7 @@
     /// Others are members, but none of them is heard: we may be cut off.
     pub(super) fn isolated(&self, now: Micros) -> bool {
         let mut others = self
-            .mirror
+            .cache
             .members
             .keys()
             .filter(|l| **l != self.settings.label)
--- a/src/controller/core/leading.rs
+++ b/src/controller/core/leading.rs
@@ -1,8 +1,8 @@
 //! Standing for leader and leading; telling the peers; handing blocks back.
 
 use super::*;
-use crate::fleet::manager::FleetSnapshot;
-use zone_failover::leader::RentalAccess;
+use crate::fleet::autoscaler::FleetSnapshot;
+use zone_failover::leader::ScaleOutAccess;
 
 /// So many conditions for each change that a transaction may have.
 const CONDS_PER_CHANGE: usize = 4;
@@ -17,26 +17,29 @@
         let Some(leader) = self.leading() else {
             return;
         };
-        let most = (self.settings.most_changes() / 2).min(8);
-        let garbage = self.mirror.garbage(most);
+        let most = (self.settings.max_mutations() / 2).min(8);
+        let garbage = self.cache.garbage(most);
         if garbage.is_empty() {
             return;
         }
         // Ids of ended jobs never come back, so these pages are nobody's.
-        let mut conds = vec![leader];
-        conds.extend(
+        let mut compares = vec![leader];
+        compares.extend(
             garbage
                 .iter()
-                .map(|(id, _)| cond(keys::job(id), Revision(0))),
+                .map(|(id, _)| compare(keys::job(id), Revision(0))),
         );
-        let ops = garbage
+        let mutations = garbage
             .iter()
-            .map(|(id, page)| store::delete(keys::page(id, *page)))
+            .map(|(id, page)| store::delete(keys::progress_page(id, *page)))
             .collect();
-        out.push(Effect::Store {
-            tag: StoreOperation::GarbageCollection,
-            request: Request::Txn { conds, ops },
-            urgency: Urgency::Spare,
+        out.push(Effect::StoreRequest {
+            operation: StoreOperation::GarbageCollection,
+            request: Request::CompareAndSwap {
+                compares,
+                mutations,
+            },
+            priority: RequestPriority::Background,
         });
     }
 
@@ -49,58 +52,64 @@
         if (self.leaderless.is_some() || self.leading().is_some())
             && let Some(request) = self.leading_lease.step(now)
         {
-            out.push(Effect::Store {
-                tag: StoreOperation::LeaderLease,
+            out.push(Effect::StoreRequest {
+                operation: StoreOperation::LeaderLease,
                 request,
-                urgency: Urgency::Vital,
+                priority: RequestPriority::Critical,
             });
         }
         if let Some(since) = self.leaderless {
             let Some(lease_id) = self.leading_lease.alive(now) else {
                 return;
             };
-            let standing = if now < self.partitioned_until {
-                leader::Standing::Isolated
+            let candidate_state = if now < self.partitioned_until {
+                leader::CandidateState::Isolated
             } else if !self.isolated(now) {
-                leader::Standing::Heard
+                leader::CandidateState::Connected
             } else if self.held.is_empty() {
-                leader::Standing::Isolated
+                leader::CandidateState::Isolated
             } else {
-                leader::Standing::IsolatedHolder
+                leader::CandidateState::IsolatedOwner
             };
-            if leader::candidacy(&self.mirror, &label, incarnation, since, now, standing)
-                && self.claim(now, "candidacy")
+            if leader::candidacy(
+                &self.cache,
+                &label,
+                incarnation,
+                since,
+                now,
+                candidate_state,
+            ) && self.claim(now, "candidacy")
             {
-                let conds = vec![
-                    cond(keys::LEADER.into(), Revision(0)),
-                    cond(keys::member(&label), incarnation),
+                let compares = vec![
+                    compare(keys::LEADER.into(), Revision(0)),
+                    compare(keys::member(&label), incarnation),
                 ];
-                let ops = vec![store::set_leased(
+                let mutations = vec![store::put_with_lease(
                     keys::LEADER.into(),
                     &LeaderRecord {
-                        holder: label.clone(),
+                        leader: label.clone(),
                         incarnation,
                     },
                     lease_id,
                 )];
-                out.push(vital(StoreOperation::Candidacy, conds, ops));
+                out.push(vital(StoreOperation::Candidacy, compares, mutations));
             }
             return;
         }
         let before = self
-            .mirror
+            .cache
             .leader
             .as_ref()
-            .filter(|(_, r)| r.holder == label && r.incarnation != incarnation)
+            .filter(|(_, r)| r.leader == label && r.incarnation != incarnation)
             .map(|(revision, _)| *revision);
         if let Some(revision) = before
             && self.claim(now, "step_down")
         {
             // Our earlier incarnation led; that process is dead, since it was us.
-            let conds = vec![cond(keys::LEADER.into(), revision)];
+            let compares = vec![compare(keys::LEADER.into(), revision)];
             out.push(vital(
                 StoreOperation::StepDown,
-                conds,
+                compares,
                 vec![store::delete(keys::LEADER.into())],
             ));
             return;
@@ -119,26 +128,26 @@
             return;
         }
         let since = self.leading_since.unwrap_or(now);
-        let members = self.mirror.members.len();
+        let members = self.cache.members.len();
         let blocks = self.policy.blocks(&self.settings);
         // At the very start, and after an end of all, others are about to join: one
         // member alone would get what is too much for one.
         if members >= self.settings.platform.initial_size
-            || !self.mirror.holders.is_empty() && members as u64 >= blocks
+            || !self.cache.holders.is_empty() && members as u64 >= blocks
             || now.since(since) > Micros::from_millis(2_000)
         {
             let fit = |l: &Label| self.fit(now, l);
             let grants = leader::grants(
-                &self.mirror,
+                &self.cache,
                 leader_cond.clone(),
                 &self.settings,
                 blocks,
                 &fit,
             );
-            if let Some((conds, ops)) = grants
+            if let Some((compares, mutations)) = grants
                 && self.claim(now, "grants")
             {
-                out.push(vital(StoreOperation::Grants, conds, ops));
+                out.push(vital(StoreOperation::PartitionGrants, compares, mutations));
             }
         }
         self.raise_format(now, &leader_cond, out);
@@ -147,16 +156,16 @@
             {
                 // Spot prices move.
                 self.last_types = now;
-                out.push(Effect::Cloud(CloudRequest::Types));
+                out.push(Effect::Cloud(CloudRequest::MachineTypes));
             }
             let news = self.all_block_states(now);
-            let leader_revision = self.mirror.leader.as_ref().map_or(Revision(0), |(s, _)| *s);
+            let leader_revision = self.cache.leader.as_ref().map_or(Revision(0), |(s, _)| *s);
             let zones = self.zones.as_ref();
             let access = |zone: &str| {
-                zones.map_or(RentalAccess::Open, |zones| zones.rental_access(now, zone))
+                zones.map_or(ScaleOutAccess::Open, |zones| zones.rental_access(now, zone))
             };
             let fleet = FleetSnapshot {
-                mirror: &self.mirror,
+                cache: &self.cache,
                 leader: &leader_cond,
                 seen: self.seen,
                 types: &types,
@@ -167,12 +176,17 @@
             self.note_probes(now, &effects);
             for e in effects {
                 out.push(match e {
-                    manager::Effect::Cloud(request) => Effect::Cloud(request),
-                    manager::Effect::Txn(write, conds, ops) => Effect::Store {
-                        tag: StoreOperation::Manager(leader_revision, write),
-                        request: Request::Txn { conds, ops },
-                        urgency: Urgency::Prompt,
-                    },
+                    autoscaler::Effect::Cloud(request) => Effect::Cloud(request),
+                    autoscaler::Effect::CompareAndSwap(write, compares, mutations) => {
+                        Effect::StoreRequest {
+                            operation: StoreOperation::Autoscaler(leader_revision, write),
+                            request: Request::CompareAndSwap {
+                                compares,
+                                mutations,
+                            },
+                            priority: RequestPriority::Normal,
+                        }
+                    }
                 });
             }
         }
@@ -181,8 +195,8 @@
     /// Records the format level that every controller of the deployment has been seen with,
     /// once. Guards against a job that is accepted with others before it while a controller
     /// of an earlier version may still come to hold its block, and would start it at once.
-    fn raise_format(&mut self, now: Micros, leader: &store::Cond, out: &mut Vec<Effect>) {
-        let known = self.mirror.format_level();
+    fn raise_format(&mut self, now: Micros, leader: &store::Compare, out: &mut Vec<Effect>) {
+        let known = self.cache.format_level();
         let seen = |l: &Label| self.formats.get(l).copied().unwrap_or_default();
         let level = self.settings.controllers().map(seen).min();
         let Some(level) = level.filter(|l| *l > known) else {
@@ -191,61 +205,61 @@
         if !self.claim(now, "format") {
             return;
         }
-        let revision = self.mirror.format.map_or(Revision(0), |(r, _)| r);
-        let mut conds = vec![leader.clone(), cond(keys::FORMAT.into(), revision)];
+        let revision = self.cache.format.map_or(Revision(0), |(r, _)| r);
+        let mut compares = vec![leader.clone(), compare(keys::FORMAT.into(), revision)];
         // As many controllers as a transaction can name must be as they were seen.
-        let most = CONDS_PER_CHANGE * self.settings.most_changes() - conds.len();
+        let most = CONDS_PER_CHANGE * self.settings.max_mutations() - compares.len();
         let members = self.settings.controllers().take(most).map(|label| {
-            let member = self.mirror.members.get(label);
-            cond(keys::member(label), member.map_or(Revision(0), |m| m.0))
+            let member = self.cache.members.get(label);
+            compare(keys::member(label), member.map_or(Revision(0), |m| m.0))
         });
-        conds.extend(members);
+        compares.extend(members);
         tracing::info!(
             level = level.0,
             "every controller has been seen with this format level"
         );
-        let ops = vec![store::set(keys::FORMAT.into(), &FormatRecord { level })];
-        out.push(vital(StoreOperation::Format, conds, ops));
+        let mutations = vec![store::put(keys::FORMAT.into(), &FormatRecord { level })];
+        out.push(vital(StoreOperation::FormatLevel, compares, mutations));
     }
 
     /// The newest word on every block, our own included.
-    fn all_block_states(&self, now: Micros) -> BTreeMap<BlockId, BlockState> {
-        let mut all: BTreeMap<BlockId, BlockState> = BTreeMap::new();
+    fn all_block_states(&self, now: Micros) -> BTreeMap<PartitionId, PartitionState> {
+        let mut all: BTreeMap<PartitionId, PartitionState> = BTreeMap::new();
         let theirs = self.peers.values().flat_map(|(at, n)| {
-            n.blocks.iter().map(move |b| BlockState {
-                at: *at,
+            n.partitions.iter().map(move |b| PartitionState {
+                received_at: *at,
                 ..b.clone()
             })
         });
         for n in theirs.chain(self.own_block_states(now)) {
             if all
-                .get(&n.block)
-                .is_none_or(|o| (o.term, o.at) < (n.term, n.at))
+                .get(&n.partition)
+                .is_none_or(|o| (o.term, o.received_at) < (n.term, n.received_at))
             {
-                all.insert(n.block, n);
+                all.insert(n.partition, n);
             }
         }
         all
     }
 
-    fn own_block_states(&self, now: Micros) -> Vec<BlockState> {
-        let news = |h: &Holder| BlockState {
-            at: now,
-            block: h.block,
+    fn own_block_states(&self, now: Micros) -> Vec<PartitionState> {
+        let news = |h: &OwnedPartition| PartitionState {
+            received_at: now,
+            partition: h.block,
             term: h.term,
-            needs: self.needs.get(&h.block).cloned().unwrap_or_default(),
-            dead: h.dead(now),
+            capacity_requests: self.needs.get(&h.block).cloned().unwrap_or_default(),
+            releasable_machines: h.dead(now),
         };
         self.held.values().map(news).collect()
     }
 
-    fn peer_state(&self, now: Micros, blocks: Vec<BlockState>) -> Effect {
+    fn peer_state(&self, now: Micros, blocks: Vec<PartitionState>) -> Effect {
         Effect::Mesh(Message::PeerState(PeerState {
-            from: self.settings.label.clone(),
+            sender: self.settings.label.clone(),
             incarnation: self.member.incarnation().unwrap_or_default(),
-            store_ok: self.store_ok(now),
-            hears_workers: now >= self.partitioned_until,
-            blocks,
+            store_reachable: self.store_ok(now),
+            workers_reachable: now >= self.partitioned_until,
+            partitions: blocks,
         }))
     }
 
@@ -268,7 +282,7 @@
     }
 
     /// Tells the peers, gives up what is idle, and writes the sums.
-    pub(super) fn tell(&mut self, now: Micros, day: Micros, out: &mut Vec<Effect>) {
+    pub(super) fn tell(&mut self, now: Micros, wall_clock: Micros, out: &mut Vec<Effect>) {
         if !self.telling_is_due(now) {
             return;
         }
@@ -276,12 +290,12 @@
         self.needs = self
             .held
             .iter()
-            .map(|(b, h)| (*b, h.needs(now, day, fleet)))
+            .map(|(b, h)| (*b, h.needs(now, wall_clock, fleet)))
             .collect();
         let blocks = self.own_block_states(now);
-        for n in blocks.iter().filter(|n| !n.dead.is_empty()) {
-            if let Some(h) = self.held.get_mut(&n.block) {
-                h.condemn(&n.dead);
+        for n in blocks.iter().filter(|n| !n.releasable_machines.is_empty()) {
+            if let Some(h) = self.held.get_mut(&n.partition) {
+                h.condemn(&n.releasable_machines);
             }
         }
         out.push(self.peer_state(now, blocks));
@@ -289,13 +303,13 @@
         let all = self.all_block_states(now);
         let until = self.member.acts_until(self.read);
         for (b, h) in &mut self.held {
-            let others: Vec<Need> = all
+            let others: Vec<CapacityRequest> = all
                 .iter()
-                .filter(|(o, n)| *o != b && now.since(n.at) < Micros::from_millis(3_000))
-                .flat_map(|(_, n)| n.needs.iter().cloned())
+                .filter(|(o, n)| *o != b && now.since(n.received_at) < Micros::from_millis(3_000))
+                .flat_map(|(_, n)| n.capacity_requests.iter().cloned())
                 .collect();
             let own = self.needs.get(b).map(Vec::as_slice).unwrap_or_default();
-            if let Some(e) = h.give_up(now, &self.mirror, own, &others) {
+            if let Some(e) = h.give_up(now, &self.cache, own, &others) {
                 out.push(holder_effect(*b, h.term, until, e));
             }
         }
@@ -306,12 +320,15 @@
                 h.log_use(now);
                 sums.extend(h.sums(fleet));
             }
-            let ops = vec![store::set(keys::sums(&self.settings.label), &sums)];
-            let request = Request::Txn { conds: vec![], ops };
-            out.push(Effect::Store {
-                tag: StoreOperation::Sums,
+            let mutations = vec![store::put(keys::team_usage(&self.settings.label), &sums)];
+            let request = Request::CompareAndSwap {
+                compares: vec![],
+                mutations,
+            };
+            out.push(Effect::StoreRequest {
+                operation: StoreOperation::TeamUsage,
                 request,
-                urgency: Urgency::Spare,
+                priority: RequestPriority::Background,
             });
         }
     }
@@ -320,7 +337,7 @@
     pub(super) fn resign(&mut self, now: Micros, out: &mut Vec<Effect>) {
         // Guards against a block stuck with a holder that hears neither its machines
         // nor any peer: that others are in, the store says, too.
-        let alone = self.mirror.members.len() < 2;
+        let alone = self.cache.members.len() < 2;
         if !alone && self.held.values().any(|h| h.partitioned(now)) {
             if now >= self.partitioned_until {
                 tracing::info!("none of our machines is heard: handing our blocks back");
@@ -332,19 +349,19 @@
             return;
         }
         // What was asked for without an answer must be settled one way or the other.
-        self.hand_back(now, Holder::resigns, out);
+        self.hand_back(now, OwnedPartition::resigns, out);
         let others = self
-            .mirror
+            .cache
             .members
             .keys()
             .filter(|l| **l != self.settings.label);
         let counts: Vec<usize> = others
             .filter(|l| self.fit(now, l) && self.peers.contains_key(*l))
             .map(|l| {
-                self.mirror
+                self.cache
                     .holders
                     .values()
-                    .filter(|(_, r)| r.holder == *l && self.mirror.holder_alive(r))
+                    .filter(|(_, r)| r.owner == *l && self.cache.holder_alive(r))
                     .count()
             })
             .collect();
@@ -367,10 +384,19 @@
         }
     }
 
-    fn hand_back(&mut self, now: Micros, which: impl Fn(&Holder) -> bool, out: &mut Vec<Effect>) {
+    fn hand_back(
+        &mut self,
+        now: Micros,
+        which: impl Fn(&OwnedPartition) -> bool,
+        out: &mut Vec<Effect>,
+    ) {
         for h in self.held.values_mut().filter(|h| which(h)) {
-            if let Some((conds, ops)) = h.resign(now) {
-                out.push(vital(StoreOperation::Resign(h.block, h.term), conds, ops));
+            if let Some((compares, mutations)) = h.resign(now) {
+                out.push(vital(
+                    StoreOperation::HandBackPartition(h.block, h.term),
+                    compares,
+                    mutations,
+                ));
             }
         }
     }
--- a/src/controller/core/readings.rs
+++ b/src/controller/core/readings.rs
@@ -7,8 +7,8 @@
     pub(super) fn changes(
         &mut self,
         now: Micros,
-        log: Vec<Change>,
-        ledger: u64,
+        log: Vec<WatchEvent>,
+        revision: u64,
         sent: Micros,
         out: &mut Vec<Effect>,
     ) {
@@ -17,16 +17,16 @@
         let (mut jobs, mut machines, mut pages) = (Vec::new(), Vec::new(), Vec::new());
         let mut others = false;
         for change in log {
-            match self.mirror.change(change) {
-                Touched::Job(id) => jobs.push(id),
-                Touched::Machines(b, shard) => machines.push((b, shard)),
-                Touched::Page(id, page) => pages.push((id, page)),
-                Touched::Holder(_) | Touched::Other => others = true,
+            match self.cache.change(change) {
+                CacheChange::Job(id) => jobs.push(id),
+                CacheChange::Shard(b, shard) => machines.push((b, shard)),
+                CacheChange::ProgressPage(id, page) => pages.push((id, page)),
+                CacheChange::PartitionOwner(_) | CacheChange::Other => others = true,
             }
         }
-        self.seen = Revision(ledger.max(self.seen.0));
+        self.seen = Revision(revision.max(self.seen.0));
         for id in &jobs {
-            self.dependencies.sync_job(now, id, &self.mirror.jobs);
+            self.dependencies.sync_job(now, id, &self.cache.jobs);
         }
         self.answer_reading(sent, out);
         if quiet {
@@ -39,14 +39,14 @@
         let types = self.types.clone().unwrap_or_default();
         for h in self.held.values_mut() {
             for id in &jobs {
-                h.sync_job(id, &self.mirror);
+                h.sync_job(id, &self.cache);
             }
             for (id, page) in &pages {
-                h.sync_page(id, *page, &self.mirror);
+                h.sync_page(id, *page, &self.cache);
             }
             let block = h.block;
             for (_, shard) in machines.iter().filter(|(b, _)| *b == block) {
-                h.sync_shard(now, *shard, &self.mirror, &types, false);
+                h.sync_shard(now, *shard, &self.cache, &types, false);
             }
         }
         self.stop_cancelled();
@@ -56,14 +56,14 @@
     pub(super) fn answer_reading(&mut self, sent: Micros, out: &mut Vec<Effect>) {
         let asked = self
             .read_index
-            .reading(sent, &self.mirror, &self.dependencies);
+            .reading(sent, &self.cache, &self.dependencies);
         out.extend(asked.into_iter().map(read_index_effect));
     }
 
     /// The held blocks learn what changed in the dependency graph, and ends that it lacks
     /// are read.
     pub(super) fn sync_dependencies(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let changed = self.dependencies.refresh(&self.mirror.jobs);
+        let changed = self.dependencies.refresh(&self.cache.jobs);
         if std::mem::take(&mut self.dependencies_unsynced) || changed {
             for h in self.held.values_mut() {
                 h.sync_dependencies(&self.dependencies);
@@ -76,18 +76,18 @@
 
     /// After the mirror or our membership changed: what we hold, and the view.
     pub(super) fn changed(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if let Some((_, t)) = &self.mirror.types
+        if let Some((_, t)) = &self.cache.types
             && self.types.as_ref().is_none_or(|old| **old != *t)
         {
             self.types = Some(Arc::new(t.clone()));
         }
-        for (label, (revision, member)) in &self.mirror.members {
+        for (label, (revision, member)) in &self.cache.members {
             self.formats.insert(label.clone(), member.format);
             if self.joined.get(label).is_none_or(|(s, _)| s != revision) {
                 self.joined.insert(label.clone(), (*revision, now));
             }
         }
-        self.leaderless = if self.mirror.leader.is_some() {
+        self.leaderless = if self.cache.leader.is_some() {
             None
         } else {
             self.leaderless.or(Some(now))
@@ -97,12 +97,12 @@
             tracing::info!("leading");
         }
         self.leading_since = leading.then(|| self.leading_since.unwrap_or(now));
-        let ours = |rec: &crate::blocks::HolderRecord| {
-            rec.holder == self.settings.label && Some(rec.incarnation) == self.member.incarnation()
+        let ours = |rec: &crate::partitions::PartitionOwnerRecord| {
+            rec.owner == self.settings.label && Some(rec.incarnation) == self.member.incarnation()
         };
-        let mirror = &self.mirror;
+        let cache = &self.cache;
         self.held.retain(|b, h| {
-            let keep = mirror
+            let keep = cache
                 .holders
                 .get(b)
                 .is_some_and(|(_, rec)| ours(rec) && rec.term == h.term);
@@ -112,25 +112,26 @@
             keep
         });
         if let Some(types) = self.types.clone() {
-            for (b, (revision, rec)) in &self.mirror.holders {
+            for (b, (revision, rec)) in &self.cache.holders {
                 if ours(rec) && !self.held.contains_key(b) {
                     tracing::info!(block = %b, term = %rec.term, "block is ours");
-                    let mut h = Holder::new(*b, rec, *revision, &self.settings, &self.policy, now);
-                    h.take_over(now, &self.mirror, &types);
+                    let mut h =
+                        OwnedPartition::new(*b, rec, *revision, &self.settings, &self.policy, now);
+                    h.take_over(now, &self.cache, &types);
                     self.held.insert(*b, h);
                     self.dependencies_unsynced = true;
                 }
             }
             let mut fleet = Resources::default();
-            for (_, _, m) in self.mirror.all_machines() {
-                if let Some(t) = types.iter().find(|t| t.name == m.build) {
+            for (_, _, m) in self.cache.all_machines() {
+                if let Some(t) = types.iter().find(|t| t.name == m.machine_type) {
                     fleet += t.capacity();
                 }
             }
             self.fleet = fleet;
         }
         if let Some(zones) = &mut self.zones {
-            zones.sync(now, &self.mirror);
+            zones.sync(now, &self.cache);
         }
         self.sync_zones(now);
         self.publish(now, out);
@@ -142,22 +143,22 @@
         let blocks = self.policy.blocks(s);
         let teams = (0..s.platform.teams.len())
             .map(|t| {
-                let b = leader::block_of(&self.mirror, s, blocks, t);
-                let rec = self.mirror.holders.get(&b);
+                let b = leader::block_of(&self.cache, s, blocks, t);
+                let rec = self.cache.holders.get(&b);
                 rec.map_or((b, Revision(0), Term(0)), |(revision, rec)| {
                     (b, *revision, rec.term)
                 })
             })
             .collect();
-        let view = View {
+        let view = ApiView {
             types: self.types.clone(),
             teams,
             healthy: self.healthy(now),
-            format: self.mirror.format_level(),
+            format: self.cache.format_level(),
         };
         if view != *self.view {
             self.view = Arc::new(view);
-            out.push(Effect::View(self.view.clone()));
+            out.push(Effect::PublishView(self.view.clone()));
         }
     }
 }
--- a/src/controller/core/replies.rs
+++ b/src/controller/core/replies.rs
@@ -11,7 +11,7 @@
         out: &mut Vec<Effect>,
     ) {
         match tag {
-            StoreOperation::Member => {
+            StoreOperation::Membership => {
                 let before = self.member.incarnation();
                 self.member.reply(now, reply);
                 if self.member.incarnation() != before {
@@ -26,7 +26,7 @@
             StoreOperation::StepDown => {
                 self.out.remove("step_down");
             }
-            StoreOperation::Grants => {
+            StoreOperation::PartitionGrants => {
                 // Until the mirror shows them, the same grants would be tried again.
                 if !matches!(reply, Reply::Committed(_)) {
                     self.out.remove("grants");
@@ -35,20 +35,20 @@
                         .insert("grants", (now + Micros::from_millis(600)).since(OUT_FOR));
                 }
             }
-            StoreOperation::Types => {
+            StoreOperation::MachineTypes => {
                 self.out.remove("types");
             }
-            StoreOperation::Resign(b, term) => {
+            StoreOperation::HandBackPartition(b, term) => {
                 if let Some(h) = self.held.get_mut(&b).filter(|h| h.term == term) {
                     h.resigned(reply);
                 }
             }
             // Until the mirror shows it, the same would be written again.
-            StoreOperation::Format if matches!(reply, Reply::Committed(_)) => {}
-            StoreOperation::Format => {
+            StoreOperation::FormatLevel if matches!(reply, Reply::Committed(_)) => {}
+            StoreOperation::FormatLevel => {
                 self.out.remove("format");
             }
-            StoreOperation::Sums | StoreOperation::GarbageCollection => {}
+            StoreOperation::TeamUsage | StoreOperation::GarbageCollection => {}
             StoreOperation::Zones => {
                 if let Some(zones) = &mut self.zones {
                     zones.committed(now, reply);
@@ -58,7 +58,7 @@
                 self.dependencies.end_read(now, &id, reply);
                 self.sync_dependencies(now, out);
             }
-            StoreOperation::Ended(id) => {
+            StoreOperation::EndedJobLookup(id) => {
                 let asked = self.read_index.ended(id, reply);
                 out.extend(asked.into_iter().map(read_index_effect));
             }
@@ -67,17 +67,17 @@
                     h.read_ended(now, &id, reply);
                 }
             }
-            StoreOperation::Holder(b, term, write) => {
+            StoreOperation::OwnedPartition(b, term, write) => {
                 self.ends_stored(&write, reply);
                 if let Some(h) = self.held.get_mut(&b).filter(|h| h.term == term) {
                     h.stored(now, write, reply);
                 }
                 self.sync_dependencies(now, out);
             }
-            StoreOperation::Manager(leader_revision, write) => {
+            StoreOperation::Autoscaler(leader_revision, write) => {
                 // An earlier leadership's answers mean nothing to this one.
                 if self
-                    .mirror
+                    .cache
                     .leader
                     .as_ref()
                     .is_some_and(|(s, _)| *s == leader_revision)
@@ -89,8 +89,8 @@
     }
 
     /// Ends that the store has confirmed are known without another read.
-    pub(super) fn ends_stored(&mut self, write: &holder::Write, reply: &Reply) {
-        let (holder::Write::Ends { ends, at, .. }, Reply::Committed(revision)) = (write, reply)
+    pub(super) fn ends_stored(&mut self, write: &owner::Write, reply: &Reply) {
+        let (owner::Write::Ends { ends, at, .. }, Reply::Committed(revision)) = (write, reply)
         else {
             return;
         };
@@ -107,11 +107,11 @@
         reply: CloudReply,
         out: &mut Vec<Effect>,
     ) {
-        if request != CloudRequest::Types {
+        if request != CloudRequest::MachineTypes {
             self.manager.cloud(now, request, reply);
             return;
         }
-        let CloudReply::Types(types) = reply else {
+        let CloudReply::MachineTypes(types) = reply else {
             // Asked again after a while, or read from the store where another node
             // had more luck.
             self.out
@@ -120,20 +120,20 @@
         };
         self.out.remove("types");
         let (revision, old) = self
-            .mirror
+            .cache
             .types
             .as_ref()
             .map_or((Revision(0), &[][..]), |(s, t)| (*s, t.as_slice()));
         if old != types.as_slice() {
-            let ops = vec![store::set(keys::TYPES.into(), &types)];
-            let request = Request::Txn {
-                conds: vec![cond(keys::TYPES.into(), revision)],
-                ops,
+            let mutations = vec![store::put(keys::TYPES.into(), &types)];
+            let request = Request::CompareAndSwap {
+                compares: vec![compare(keys::TYPES.into(), revision)],
+                mutations,
             };
-            out.push(Effect::Store {
-                tag: StoreOperation::Types,
+            out.push(Effect::StoreRequest {
+                operation: StoreOperation::MachineTypes,
                 request,
-                urgency: Urgency::Prompt,
+                priority: RequestPriority::Normal,
             });
         }
         self.types = Some(Arc::new(types));
--- a/src/controller/core/zones.rs
+++ b/src/controller/core/zones.rs
@@ -12,14 +12,14 @@
         let Some(zones) = &mut self.zones else {
             return;
         };
-        zones.tick(now, &self.mirror);
+        zones.tick(now, &self.cache);
         for h in self.held.values_mut() {
             h.set_zones(now, &zones.config, zones.situation());
         }
     }
 
     /// The leader decides on the zones' states and commits them.
-    pub(super) fn lead_zones(&mut self, now: Micros, day: Micros, out: &mut Vec<Effect>) {
+    pub(super) fn lead_zones(&mut self, now: Micros, wall_clock: Micros, out: &mut Vec<Effect>) {
         let leading = self.leading();
         let Some(zones) = &mut self.zones else {
             return;
@@ -28,13 +28,16 @@
             zones.follow(now);
             return;
         };
-        let Some((conds, ops)) = zones.lead(now, day, &leader) else {
+        let Some((compares, mutations)) = zones.lead(now, wall_clock, &leader) else {
             return;
         };
-        out.push(Effect::Store {
-            tag: StoreOperation::Zones,
-            request: Request::Txn { conds, ops },
-            urgency: Urgency::Prompt,
+        out.push(Effect::StoreRequest {
+            operation: StoreOperation::Zones,
+            request: Request::CompareAndSwap {
+                compares,
+                mutations,
+            },
+            priority: RequestPriority::Normal,
         });
     }
 
@@ -53,7 +56,7 @@
         if now < self.partitioned_until || self.isolated(now) || !self.store_ok(now) {
             return Vec::new();
         }
-        let mut machines: BTreeMap<ZoneId, holder::MachineCounts> = BTreeMap::new();
+        let mut machines: BTreeMap<ZoneId, owner::MachineCounts> = BTreeMap::new();
         for (zone, counts) in self.held.values().flat_map(|h| h.zone_counts(now)) {
             let sum = machines.entry(zone).or_default();
             sum.machines += counts.machines;
@@ -86,7 +89,7 @@
             let Some(zone) = &seed.zone else {
                 continue;
             };
-            if !self.mirror.members.contains_key(&seed.label) {
+            if !self.cache.members.contains_key(&seed.label) {
                 continue;
             }
             let heard = self.peers.get(&seed.label);
@@ -99,12 +102,16 @@
     }
 
     /// Machines that are about to be rented in a lost zone, to see whether it is back.
-    pub(super) fn note_probes(&mut self, now: Micros, effects: &[manager::Effect]) {
+    pub(super) fn note_probes(&mut self, now: Micros, effects: &[autoscaler::Effect]) {
         let Some(zones) = &mut self.zones else {
             return;
         };
         for effect in effects {
-            if let manager::Effect::Txn(manager::Write::RentalState { rental, .. }, ..) = effect {
+            if let autoscaler::Effect::CompareAndSwap(
+                autoscaler::Write::ScaleOut { rental, .. },
+                ..,
+            ) = effect
+            {
                 zones.probed(now, &rental.zone);
             }
         }
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -1,20 +1,20 @@
 //! What the core is told and what it decides: messages and effects, types only.
 
-use crate::api::read_index::Found;
-use crate::blocks::{FormatLevel, holder};
+use crate::api::read_index::JobLookup;
 use crate::clock::Micros;
-use crate::fleet::{CloudReply, CloudRequest, MachineType, manager};
-use crate::ids::{BlockId, JobId, Label, MachineId, Revision, Term};
+use crate::fleet::{CloudReply, CloudRequest, MachineType, autoscaler};
+use crate::ids::{JobId, Label, MachineId, PartitionId, Revision, Term};
 use crate::mesh::Message;
-use crate::store::{Change, Reply, Request, Row, Urgency};
-use crate::workers::{Direct, Orders, Report};
+use crate::partitions::{FormatLevel, owner};
+use crate::store::{KeyValue, Reply, Request, RequestPriority, WatchEvent};
+use crate::workers::{DirectCommand, Heartbeat, HeartbeatResponse};
 use std::sync::Arc;
 
 /// Who asked the store, as the answer comes back.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreOperation {
     /// This controller's membership.
-    Member,
+    Membership,
     /// The lease that the leader's key is attached to.
     LeaderLease,
     /// Becoming the leader.
@@ -22,29 +22,29 @@
     /// Giving up the lead.
     StepDown,
     /// Grants of blocks.
-    Grants,
+    PartitionGrants,
     /// The list of machine types.
-    Types,
+    MachineTypes,
     /// The teams' sums.
-    Sums,
+    TeamUsage,
     /// Handing a block back.
-    Resign(BlockId, Term),
+    HandBackPartition(PartitionId, Term),
     /// A holder's write, for the block and the term that it was made under.
-    Holder(BlockId, Term, holder::Write),
+    OwnedPartition(PartitionId, Term, owner::Write),
     /// The record of an ended job that a user asks about.
-    Ended(JobId),
+    EndedJobLookup(JobId),
     /// A job that a holder does not know, but a machine of its block shows.
-    UnknownJob(BlockId, Term, JobId),
+    UnknownJob(PartitionId, Term, JobId),
     /// The record of an ended job that others need.
     DependencyEnd(JobId),
     /// The format level that every controller understands.
-    Format,
+    FormatLevel,
     /// Clearing what ended jobs left behind.
     GarbageCollection,
     /// The states of all zones.
     Zones,
     /// A write of the fleet's manager, under this leadership.
-    Manager(Revision, manager::Write),
+    Autoscaler(Revision, autoscaler::Write),
 }
 
 /// A message to the core.
@@ -55,46 +55,46 @@
     /// The store was read from the start.
     Loaded {
         /// All that is below the root.
-        rows: Vec<Row>,
+        entries: Vec<KeyValue>,
         /// The revision that the reading has reached.
-        ledger: u64,
+        revision: u64,
         /// When the reading was asked for.
-        sent: Micros,
+        requested_at: Micros,
     },
     /// Changes of the store since the last reading.
     Changes {
         /// The changes in their order.
-        log: Vec<Change>,
+        events: Vec<WatchEvent>,
         /// The revision that the reading has reached.
-        ledger: u64,
+        revision: u64,
         /// When the reading was asked for.
-        sent: Micros,
+        requested_at: Micros,
     },
     /// The store's answer.
-    Stored {
+    StoreReply {
         /// What was asked.
-        tag: StoreOperation,
+        operation: StoreOperation,
         /// What it answered.
         reply: Reply,
     },
     /// A worker's report.
-    CheckIn {
+    Heartbeat {
         /// What it reported.
-        report: Report,
+        heartbeat: Heartbeat,
         /// Names the answer.
-        ticket: u64,
+        request_id: u64,
     },
     /// How does this job stand?
-    Ask {
+    JobLookup {
         /// The job that is asked about.
         id: JobId,
         /// Names the answer.
-        ticket: u64,
+        request_id: u64,
     },
     /// What became of a direct command.
-    DirectAnswer {
+    DirectCommandReply {
         /// The block that the machine was in.
-        block: BlockId,
+        partition: PartitionId,
         /// The term under which it was sent.
         term: Term,
         /// The machine that it was sent to.
@@ -103,7 +103,7 @@
         answer: DirectAnswer,
     },
     /// The cloud's answer.
-    Cloud {
+    CloudReply {
         /// What was asked.
         request: CloudRequest,
         /// What it answered.
@@ -124,54 +124,54 @@
 #[derive(Debug)]
 pub enum DirectAnswer {
     /// The worker's report after it.
-    Report(Report),
+    Heartbeat(Heartbeat),
     /// It surely did not go out.
     NotSent,
     /// It may still arrive.
-    Lost,
+    Indeterminate,
 }
 
 /// The answer to a worker's report.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
     /// 200: the token and what to do.
-    Orders(Orders),
+    Accepted(HeartbeatResponse),
     /// 421: another node answers this machine.
-    Elsewhere(Label),
+    Redirect(Label),
     /// 503: nobody is known to be entitled just now.
-    NotNow,
+    Unavailable,
 }
 
 /// What the core wants done.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Ask the state service.
-    Store {
+    StoreRequest {
         /// Comes back with the answer.
-        tag: StoreOperation,
+        operation: StoreOperation,
         /// What to ask.
         request: Request,
         /// Who goes first when the budget is short.
-        urgency: Urgency,
+        priority: RequestPriority,
     },
     /// Answer a worker's report.
-    Answer {
+    AnswerHeartbeat {
         /// Of the report.
-        ticket: u64,
+        request_id: u64,
         /// The answer.
         answer: Answer,
     },
     /// Answer a question how a job stands.
-    Found {
+    AnswerJobLookup {
         /// Of the question.
-        ticket: u64,
+        request_id: u64,
         /// The answer.
-        found: Found,
+        lookup: JobLookup,
     },
     /// Send a direct command.
-    Do {
+    SendDirectCommand {
         /// The block that the machine is in.
-        block: BlockId,
+        partition: PartitionId,
         /// The term under which it is sent.
         term: Term,
         /// The machine that it is for.
@@ -179,25 +179,25 @@
         /// The address of its worker.
         addr: String,
         /// The command.
-        direct: Direct,
+        command: DirectCommand,
         /// Not to be sent from then on: our lease may be over.
-        until: Micros,
+        send_before: Micros,
     },
     /// Ask the cloud.
     Cloud(CloudRequest),
     /// To all peers.
     Mesh(Message),
     /// Publish what the users' side needs to know.
-    View(Arc<View>),
+    PublishView(Arc<ApiView>),
 }
 
 /// What the users' side needs to know, published whenever it changes.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct View {
+pub struct ApiView {
     /// The machine types, once they are known.
     pub types: Option<Arc<Vec<MachineType>>>,
     /// For each team: its block, and the revision and term of the block's grant.
-    pub teams: Vec<(BlockId, Revision, Term)>,
+    pub teams: Vec<(PartitionId, Revision, Term)>,
     /// Whether users should come to this controller.
     pub healthy: bool,
     /// The format level that every controller understands.
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -6,22 +6,22 @@
 #[cfg(test)]
 mod tests;
 
-use crate::api::{self, read_index::Found};
-use crate::clock::{Micros, Steady, time_of_day};
-use crate::fleet::client::Cloud;
+use crate::api::{self, read_index::JobLookup};
+use crate::clock::{Micros, MonotonicClock, time_of_day};
+use crate::fleet::client::CloudClient;
 use crate::ids::{JobId, Revision};
 use crate::mesh;
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::settings::sockets::{CLOUD_SOCKETS, STORE_SOCKETS};
-use crate::store::client::{Followed, Store};
-use crate::store::{Reply, Request, Urgency};
+use crate::store::client::{KvClient, WatchResponse};
+use crate::store::{Reply, Request, RequestPriority};
 use crate::subsystems::Subsystems;
-use crate::workers::{Direct, Report};
+use crate::workers::{DirectCommand, Heartbeat};
 use bytes::Bytes;
 use core::Core;
 use http::{Failure, HttpRequest, Pool, Pools};
-use messages::{Answer, DirectAnswer, Effect, Input, View};
+use messages::{Answer, ApiView, DirectAnswer, Effect, Input};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -38,9 +38,9 @@
 }
 
 /// A worker's report and where its answer goes.
-pub struct Arrived {
+pub struct HeartbeatRequest {
     /// What the worker reported.
-    pub report: Report,
+    pub report: Heartbeat,
     /// Where the answer goes.
     pub answer: oneshot::Sender<Answer>,
 }
@@ -58,7 +58,7 @@
     /// The job that is asked about.
     pub id: JobId,
     /// Where the answer goes.
-    pub answer: oneshot::Sender<Found>,
+    pub answer: oneshot::Sender<JobLookup>,
 }
 
 const TICK: Duration = Duration::from_millis(50);
@@ -80,7 +80,7 @@
     policy: Policy,
     subsystems: Subsystems,
 ) -> Result<(), ListenError> {
-    let clock = Steady::start();
+    let clock = MonotonicClock::start();
     let refused = |addr: &dyn std::fmt::Display, why: &dyn std::fmt::Display| ListenError {
         addr: addr.to_string(),
         why: why.to_string(),
@@ -94,18 +94,18 @@
         settings.endpoints.state.to_string(),
         STORE_SOCKETS,
     ));
-    let store = Store::new(state_pool, clock, &p.state, share);
-    let cloud = Rc::new(Cloud::new(
+    let store = KvClient::new(state_pool, clock, &p.state, share);
+    let cloud = Rc::new(CloudClient::new(
         Pool::new(settings.endpoints.cloud.to_string(), CLOUD_SOCKETS),
         clock,
         p.cloud.rps,
     ));
     let (inputs, inbox) = mpsc::channel::<Input>(1024);
-    let (reports, arrivals) = mpsc::channel::<Arrived>(1024);
+    let (reports, arrivals) = mpsc::channel::<HeartbeatRequest>(1024);
     let (asks, asking) = mpsc::channel::<StatusQuery>(1024);
     let (questions, asked) = mpsc::channel::<Question>(256);
     let (cancels, cancelled) = mpsc::channel::<Cancelled>(256);
-    let (view_out, view) = watch::channel(Arc::new(View::default()));
+    let (view_out, view) = watch::channel(Arc::new(ApiView::default()));
 
     let listener = tokio::net::TcpListener::bind(settings.mesh_addr)
         .await
@@ -147,7 +147,7 @@
         peers,
         view_out,
         workers: Pools::new(sockets.direct),
-        tickets: BTreeMap::new(),
+        request_ids: BTreeMap::new(),
         questions: BTreeMap::new(),
         next: 0,
     }
@@ -170,28 +170,36 @@
 }
 
 /// Keeps the mirror up to date: one full reading, then changes only.
-async fn watch_store(store: Store, clock: Steady, inputs: mpsc::Sender<Input>) {
+async fn watch_store(store: KvClient, clock: MonotonicClock, inputs: mpsc::Sender<Input>) {
     loop {
         let sent = clock.now();
-        let Some((rows, ledger)) = store.load().await else {
+        let Some((rows, revision)) = store.load().await else {
             tokio::time::sleep(Duration::from_millis(300)).await;
             continue;
         };
         if inputs
-            .send(Input::Loaded { rows, ledger, sent })
+            .send(Input::Loaded {
+                entries: rows,
+                revision,
+                requested_at: sent,
+            })
             .await
             .is_err()
         {
             return;
         }
-        let mut since = ledger;
+        let mut since = revision;
         loop {
             let sent = clock.now();
             match store.follow(since).await {
-                Followed::Changes(log, ledger) => {
-                    since = ledger.max(since);
+                WatchResponse::Events(log, revision) => {
+                    since = revision.max(since);
                     if inputs
-                        .send(Input::Changes { log, ledger, sent })
+                        .send(Input::Changes {
+                            events: log,
+                            revision,
+                            requested_at: sent,
+                        })
                         .await
                         .is_err()
                     {
@@ -199,55 +207,57 @@
                     }
                     tokio::time::sleep(WATCH_GAP).await;
                 }
-                Followed::TooOld => break,
-                Followed::Failed => tokio::time::sleep(2 * WATCH_GAP).await,
+                WatchResponse::Compacted => break,
+                WatchResponse::Failed => tokio::time::sleep(2 * WATCH_GAP).await,
             }
         }
     }
 }
 
-async fn answer_questions(store: Store, mut asked: mpsc::Receiver<Question>) {
+async fn answer_questions(store: KvClient, mut asked: mpsc::Receiver<Question>) {
     while let Some(q) = asked.recv().await {
         let store = store.clone();
         spawn_local(async move {
-            let _ = q.answer.send(store.ask(q.request, Urgency::Prompt).await);
+            let _ = q
+                .answer
+                .send(store.ask(q.request, RequestPriority::Normal).await);
         });
     }
 }
 
 /// The request that carries commands straight to a worker.
-pub(crate) fn direct_request(direct: &Direct) -> Result<HttpRequest, serde_json::Error> {
+pub(crate) fn direct_request(direct: &DirectCommand) -> Result<HttpRequest, serde_json::Error> {
     let body = serde_json::to_value(direct)?;
     Ok(HttpRequest::post("/do".into(), body))
 }
 
 /// Commands straight to a worker.
-async fn direct(worker: &Pool, direct: Direct, within: Duration) -> DirectAnswer {
+async fn direct(worker: &Pool, direct: DirectCommand, within: Duration) -> DirectAnswer {
     let Ok(request) = direct_request(&direct) else {
         return DirectAnswer::NotSent;
     };
     match worker.send(&request, within).await {
-        Ok((200 | 409, body)) => match serde_json::from_slice::<Report>(&body) {
-            Ok(r) => DirectAnswer::Report(r),
-            Err(_) => DirectAnswer::Lost,
+        Ok((200 | 409, body)) => match serde_json::from_slice::<Heartbeat>(&body) {
+            Ok(r) => DirectAnswer::Heartbeat(r),
+            Err(_) => DirectAnswer::Indeterminate,
         },
         Err(Failure::NotSent) => DirectAnswer::NotSent,
-        Ok(_) | Err(Failure::NoAnswer) => DirectAnswer::Lost,
+        Ok(_) | Err(Failure::NoAnswer) => DirectAnswer::Indeterminate,
     }
 }
 
 /// Feeds the core and carries out what it decides.
 struct Driver {
     core: Core,
-    clock: Steady,
-    store: Store,
-    cloud: Rc<Cloud>,
+    clock: MonotonicClock,
+    store: KvClient,
+    cloud: Rc<CloudClient>,
     inputs: mpsc::Sender<Input>,
     peers: Vec<mpsc::Sender<Bytes>>,
-    view_out: watch::Sender<Arc<View>>,
+    view_out: watch::Sender<Arc<ApiView>>,
     workers: Pools,
-    tickets: BTreeMap<u64, oneshot::Sender<Answer>>,
-    questions: BTreeMap<u64, oneshot::Sender<Found>>,
+    request_ids: BTreeMap<u64, oneshot::Sender<Answer>>,
+    questions: BTreeMap<u64, oneshot::Sender<JobLookup>>,
     next: u64,
 }
 
@@ -255,7 +265,7 @@
     async fn run(
         mut self,
         mut inbox: mpsc::Receiver<Input>,
-        mut arrivals: mpsc::Receiver<Arrived>,
+        mut arrivals: mpsc::Receiver<HeartbeatRequest>,
         mut asking: mpsc::Receiver<StatusQuery>,
     ) {
         let mut tick = tokio::time::interval(TICK);
@@ -269,12 +279,12 @@
                 Some(a) = asking.recv() => {
                     self.next += 1;
                     self.questions.insert(self.next, a.answer);
-                    Input::Ask { id: a.id, ticket: self.next }
+                    Input::JobLookup { id: a.id, request_id: self.next }
                 }
                 Some(a) = arrivals.recv() => {
                     self.next += 1;
-                    self.tickets.insert(self.next, a.answer);
-                    Input::CheckIn { report: a.report, ticket: self.next }
+                    self.request_ids.insert(self.next, a.answer);
+                    Input::Heartbeat { heartbeat: a.report, request_id: self.next }
                 }
             };
             let effects = self.core.handle(self.clock.now(), time_of_day(), input);
@@ -287,43 +297,51 @@
     fn carry_out(&mut self, effect: Effect) {
         let inputs = self.inputs.clone();
         match effect {
-            Effect::Store {
-                tag,
+            Effect::StoreRequest {
+                operation: tag,
                 request,
-                urgency,
+                priority,
             } => {
                 let store = self.store.clone();
                 spawn_local(async move {
-                    let reply = store.ask(request, urgency).await;
+                    let reply = store.ask(request, priority).await;
                     tracing::debug!(?tag, ?reply, "stored");
-                    let _ = inputs.send(Input::Stored { tag, reply }).await;
+                    let _ = inputs
+                        .send(Input::StoreReply {
+                            operation: tag,
+                            reply,
+                        })
+                        .await;
                 });
             }
-            Effect::Answer { ticket, answer } => {
-                if let Some(to) = self.tickets.remove(&ticket) {
+            Effect::AnswerHeartbeat { request_id, answer } => {
+                if let Some(to) = self.request_ids.remove(&request_id) {
                     let _ = to.send(answer);
                 }
             }
-            Effect::Found { ticket, found } => {
-                if let Some(to) = self.questions.remove(&ticket) {
+            Effect::AnswerJobLookup {
+                request_id,
+                lookup: found,
+            } => {
+                if let Some(to) = self.questions.remove(&request_id) {
                     let _ = to.send(found);
                 }
             }
-            Effect::Do {
-                block,
+            Effect::SendDirectCommand {
+                partition: block,
                 term,
                 machine,
                 addr,
-                direct: orders,
-                until,
+                command: orders,
+                send_before: until,
             } => {
                 let worker = self.workers.to(&addr);
                 let within = until.since(self.clock.now()).duration();
                 spawn_local(async move {
                     let answer = direct(&worker, orders, DO_DEADLINE.min(within)).await;
                     let _ = inputs
-                        .send(Input::DirectAnswer {
-                            block,
+                        .send(Input::DirectCommandReply {
+                            partition: block,
                             term,
                             machine,
                             answer,
@@ -335,7 +353,7 @@
                 let cloud = self.cloud.clone();
                 spawn_local(async move {
                     let reply = cloud.ask(&request).await;
-                    let _ = inputs.send(Input::Cloud { request, reply }).await;
+                    let _ = inputs.send(Input::CloudReply { request, reply }).await;
                 });
             }
             Effect::Mesh(message) => {
@@ -347,7 +365,7 @@
                     }
                 }
             }
-            Effect::View(view) => {
+            Effect::PublishView(view) => {
                 let _ = self.view_out.send(view);
             }
         }
--- a/src/controller/tests/added.rs
+++ b/src/controller/tests/added.rs
@@ -4,10 +4,10 @@
 
 use super::started;
 use super::world::{World, secs};
-use crate::api::read_index::Found;
+use crate::api::read_index::JobLookup;
 use crate::controller::messages::Answer;
 use crate::ids::FencingToken;
-use crate::jobs::Standing;
+use crate::jobs::JobState;
 use crate::jobs::tests::desc;
 use crate::store::Reply;
 
@@ -78,7 +78,7 @@
     let lease_s = w.nodes[0].settings.platform.workers.lease_s;
     // Its session ends and the next one begins; no task may be on both machines.
     w.pass(lease_s + 15.0);
-    assert_eq!(w.workers[unheard].session, 2);
+    assert_eq!(w.workers[unheard].agent_epoch, 2);
     w.cancel("j-2");
     w.pass(2.0 * lease_s);
     assert_eq!(w.running("j-1/0").len(), 1);
@@ -97,8 +97,8 @@
     // Seconds late: the tasks that it shows have ended since.
     w.finish_all();
     w.pass(5.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
-    assert_eq!(w.late_copy(holder, &runs), Some(Answer::NotNow));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
+    assert_eq!(w.late_copy(holder, &runs), Some(Answer::Unavailable));
     w.pass(5.0);
     assert_eq!(w.all_running(), 0);
     // Well over a lease late, from an earlier session: it proves no life.
@@ -108,7 +108,7 @@
     w.workers[with].cut = true;
     w.cloud_down = true;
     let mut copy = w.workers[with].report();
-    copy.sequence = 1;
+    copy.heartbeat_sequence = 1;
     copy.tasks.clear();
     for _ in 0..20 {
         w.pass(2.0);
@@ -147,11 +147,11 @@
         // It is the first that the new holder hears, and newer than nothing.
         let told = w.late_copy(holder, &copy);
         assert!(
-            matches!(told, Some(Answer::Orders(o)) if o.orders.is_empty()),
+            matches!(told, Some(Answer::Accepted(o)) if o.commands.is_empty()),
             "the token at most"
         );
         // Not even one that has seen a lower term of the new holder's own.
-        copy.token = FencingToken(copy.token.0 + 1);
+        copy.fencing_token = FencingToken(copy.fencing_token.0 + 1);
         w.late_copy(holder, &copy);
     }
     w.workers[1 - at].cut = false;
@@ -170,7 +170,7 @@
     w.workers[with].cut = true;
     w.pass(20.0);
     assert!(w.returned.contains(&w.workers[with].id));
-    assert_eq!(w.late_copy(0, &copy), Some(Answer::NotNow));
+    assert_eq!(w.late_copy(0, &copy), Some(Answer::Unavailable));
     w.pass(5.0);
     let recorded = w
         .store
@@ -201,7 +201,7 @@
     let r = w.workers[0].report();
     assert_eq!(
         w.late_copy(cut, &r),
-        Some(Answer::NotNow),
+        Some(Answer::Unavailable),
         "its lease is over"
     );
     let holder = w.holder();
@@ -253,12 +253,12 @@
     }
     let late = std::mem::take(&mut w.held_txns);
     assert!(!late.is_empty());
-    for (conds, ops) in late {
-        let reply = w.store.txn(&conds, ops);
+    for (compares, mutations) in late {
+        let reply = w.store.txn(&compares, mutations);
         assert!(matches!(reply, Reply::Conflict(_)), "of a dead incarnation");
     }
     w.pass(12.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
     w.submit(&desc("j-2", 4));
     w.pass(4.0);
     assert_eq!(w.all_running(), 4);
@@ -274,7 +274,7 @@
 fn with_a_task_after_a_long_life() -> (World, usize) {
     let mut w = started(1, 2);
     for m in &mut w.workers {
-        m.sequence += 1_000;
+        m.heartbeat_sequence += 1_000;
     }
     w.submit(&desc("j-1", 1));
     w.pass(3.0);
@@ -312,7 +312,7 @@
     assert!(
         launches
             .iter()
-            .any(|(to, d)| *to == at && !d.orders.is_empty())
+            .any(|(to, d)| *to == at && !d.commands.is_empty())
     );
     w.reborn(at);
     w.pass(5.0);
@@ -338,12 +338,12 @@
     w.hold_job_txns = false;
     // Carried out late, without an answer; then what was tried since, and repeats.
     for _ in 0..2 {
-        for (conds, ops) in &held {
-            w.store.txn(conds, ops.clone());
+        for (compares, mutations) in &held {
+            w.store.txn(compares, mutations.clone());
         }
     }
     w.pass(3.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
     assert!(w.workers[0].tasks.is_empty(), "reaped");
 }
 
@@ -360,10 +360,10 @@
         w.submit(&desc(&format!("j-{i}"), 1));
     }
     w.pass(20.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
     // Its mirror stands still: it must not tell of the past, and says so at once.
     w.ask_for(away, "j-1", 1);
-    assert_eq!(w.found.pop(), Some((away, 1, Found::Unreadable)));
+    assert_eq!(w.found.pop(), Some((away, 1, JobLookup::Unavailable)));
     w.store.down = true;
     w.pass(30.0);
     w.store.down = false;
@@ -378,15 +378,18 @@
     }
     w.pass(0.5);
     assert_eq!(w.found.len(), 57);
-    for (_, ticket, found) in &w.found {
-        let done = matches!(found, Found::Ended(rec) if rec.standing == Standing::Done);
-        let live = matches!(found, Found::Live { .. });
-        assert!(if *ticket == 1 { done } else { live }, "{ticket} {found:?}");
+    for (_, request_id, found) in &w.found {
+        let done = matches!(found, JobLookup::Ended(rec) if rec.state == JobState::Done);
+        let live = matches!(found, JobLookup::Live { .. });
+        assert!(
+            if *request_id == 1 { done } else { live },
+            "{request_id} {found:?}"
+        );
     }
     w.found.clear();
     w.ask_for(away, "j-999", 99);
     w.pass(0.5);
-    assert_eq!(w.found.pop(), Some((away, 99, Found::Nothing)));
+    assert_eq!(w.found.pop(), Some((away, 99, JobLookup::NotFound)));
 }
 
 #[test]
@@ -399,9 +402,9 @@
     w.submit(&whole);
     for n in 0..170 {
         let mut stream = desc(&format!("j-{n}"), 1);
-        stream.rank = crate::jobs::Rank::Production;
+        stream.priority = crate::jobs::Priority::Production;
         // It can't wait, so it leaves no machine to the other.
-        stream.due_s = None;
+        stream.deadline_s = None;
         w.submit(&stream);
         w.pass(1.0);
     }
@@ -416,10 +419,10 @@
     let mut whole = desc("j-90001", 1);
     whole.cores = 16.0;
     let mut low = desc("j-90002", 2);
-    low.rank = crate::jobs::Rank::Idle;
+    low.priority = crate::jobs::Priority::Idle;
     low.class = "other".into();
     let mut lost = desc("j-90003", 2);
-    lost.due_s = Some(1.0);
+    lost.deadline_s = Some(1.0);
     let large = desc("j-90004", 100);
     let mut blue = desc("j-90005", 2);
     blue.team = "blue".into();
@@ -430,9 +433,9 @@
     for n in 0..230 {
         // Twice of what the machine can do, of a higher rank than most.
         let mut stream = desc(&format!("j-{n}"), 2);
-        stream.rank = crate::jobs::Rank::Production;
+        stream.priority = crate::jobs::Priority::Production;
         stream.team = if n % 2 == 0 { "red" } else { "blue" }.into();
-        stream.due_s = Some(1_000.0);
+        stream.deadline_s = Some(1_000.0);
         w.submit(&stream);
         w.pass(1.0);
 
--- a/src/controller/tests/characterization.rs
+++ b/src/controller/tests/characterization.rs
@@ -7,11 +7,11 @@
 //! `INSTA_UPDATE=always cargo test --lib characterization`, and says so in its commit.
 
 use super::pairs::{Kind, recorded_pair};
-use crate::api::read_index::Found;
+use crate::api::read_index::JobLookup;
 use crate::clock::Micros;
 use crate::controller::direct_request;
 use crate::controller::http::HttpRequest;
-use crate::controller::messages::{Answer, Effect, View};
+use crate::controller::messages::{Answer, ApiView, Effect};
 use crate::{fleet, mesh, store};
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
@@ -56,18 +56,21 @@
 /// The kind of an effect, and all that leaves the process with it.
 fn wire_form(effect: &Effect) -> (&'static str, String) {
     match effect {
-        Effect::Store {
-            request, urgency, ..
+        Effect::StoreRequest {
+            request, priority, ..
         } => {
             let http = http_form(&store::client::http_request(request));
-            ("store", format!("{} {http}", *urgency as u8))
+            ("store", format!("{} {http}", *priority as u8))
         }
-        Effect::Answer { answer, .. } => ("worker", worker_form(answer)),
-        Effect::Found { ticket, found } => ("user", format!("{ticket} {}", user_form(found))),
-        Effect::Do {
+        Effect::AnswerHeartbeat { answer, .. } => ("worker", worker_form(answer)),
+        Effect::AnswerJobLookup {
+            request_id,
+            lookup: found,
+        } => ("user", format!("{request_id} {}", user_form(found))),
+        Effect::SendDirectCommand {
             addr,
-            direct,
-            until,
+            command: direct,
+            send_before: until,
             ..
         } => {
             let http = direct_request(direct).expect("a direct command is JSON");
@@ -78,7 +81,7 @@
             let frame = mesh::encode(message).expect("a message has a frame");
             ("mesh", format!("{frame:?}"))
         }
-        Effect::View(view) => ("view", view_form(view)),
+        Effect::PublishView(view) => ("view", view_form(view)),
     }
 }
 
@@ -92,15 +95,15 @@
 
 fn worker_form(answer: &Answer) -> String {
     match answer {
-        Answer::Orders(orders) => format!("200 {} {}", orders.until.0, json!(orders)),
-        Answer::Elsewhere(label) => format!("421 {label}"),
-        Answer::NotNow => "503".to_owned(),
+        Answer::Accepted(orders) => format!("200 {} {}", orders.valid_until.0, json!(orders)),
+        Answer::Redirect(label) => format!("421 {label}"),
+        Answer::Unavailable => "503".to_owned(),
     }
 }
 
-fn user_form(found: &Found) -> Value {
+fn user_form(found: &JobLookup) -> Value {
     match found {
-        Found::Live {
+        JobLookup::Live {
             revision,
             standing,
             tasks,
@@ -108,13 +111,13 @@
             done,
             running,
         } => json!([revision, standing, tasks, footprint, done, running]),
-        Found::Ended(record) => json!(record),
-        Found::Nothing => json!(404),
-        Found::Unreadable => json!(503),
+        JobLookup::Ended(record) => json!(record),
+        JobLookup::NotFound => json!(404),
+        JobLookup::Unavailable => json!(503),
     }
 }
 
-fn view_form(view: &View) -> String {
+fn view_form(view: &ApiView) -> String {
     json!([view.types.as_deref(), view.teams, view.healthy, view.format]).to_string()
 }
 
--- a/src/controller/tests/dependencies.rs
+++ b/src/controller/tests/dependencies.rs
@@ -3,9 +3,9 @@
 
 use super::world::World;
 use super::*;
-use crate::api::read_index::Found;
+use crate::api::read_index::JobLookup;
 use crate::ids::{JobId, Revision};
-use crate::jobs::{JobDesc, Rank};
+use crate::jobs::{JobDesc, Priority};
 
 /// A job of two tasks that needs others.
 fn needing(id: &str, before: &[&str]) -> JobDesc {
@@ -15,7 +15,7 @@
 }
 
 /// How each node says that a job stands.
-fn told(w: &mut World, id: &str) -> Vec<Found> {
+fn told(w: &mut World, id: &str) -> Vec<JobLookup> {
     w.found.clear();
     let nodes = w.nodes.len();
     for node in 0..nodes {
@@ -31,17 +31,17 @@
 
 fn all_say_cancelled(w: &mut World, id: &str) {
     for found in told(w, id) {
-        let Found::Ended(record) = found else {
+        let JobLookup::Ended(record) = found else {
             panic!("{id}: {found:?}");
         };
-        assert_eq!(record.standing, Standing::Cancelled, "{id}");
+        assert_eq!(record.state, JobState::Cancelled, "{id}");
     }
 }
 
 /// Cancels as a user's request does: the store first, then the word of it.
 fn cancel(w: &mut World, by: usize, id: &str) {
     w.cancel(id);
-    let (job, revision) = (id.into(), Revision(w.store.ledger));
+    let (job, revision) = (id.into(), Revision(w.store.revision));
     w.feed(by, Input::Cancelled { job, revision });
 }
 
@@ -57,7 +57,7 @@
     w.finish("j-1/0");
     w.finish("j-1/1");
     w.pass(3.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
     assert_eq!(w.all_running(), 2, "the other is not done yet");
     // All of its tasks have ended, and reports say so, but it is not stored.
     w.hold_job_txns = true;
@@ -85,7 +85,7 @@
     assert_eq!(w.all_running(), 2, "only the first one");
     w.finish_all();
     w.pass(1.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
     // Whoever comes knows the first one's end from its record only.
     for i in 0..3 {
         w.crash(i);
@@ -107,10 +107,10 @@
     w.submit(&desc("j-1", 2));
     // Far too large for the machine that is up, and urgent; of the same team.
     let mut large = needing("j-2", &["j-1"]);
-    (large.tasks, large.cores, large.rank) = (4, 4.0, Rank::Production);
+    (large.tasks, large.cores, large.priority) = (4, 4.0, Priority::Production);
     w.submit(&large);
     let mut small = desc("j-3", 6);
-    (small.rank, small.due_s) = (Rank::Idle, None);
+    (small.priority, small.deadline_s) = (Priority::Idle, None);
     w.pass(200.0);
     w.submit(&small);
     w.pass(3.0);
@@ -142,7 +142,7 @@
     }
     for id in ["j-1", "j-3", "j-5"] {
         for found in told(&mut w, id) {
-            assert!(matches!(found, Found::Live { .. }), "{id}: {found:?}");
+            assert!(matches!(found, JobLookup::Live { .. }), "{id}: {found:?}");
         }
     }
     assert_eq!(w.ended("j-4"), None);
@@ -154,7 +154,7 @@
     w.pass(5.0);
     assert_eq!(
         w.ended("j-4"),
-        Some(Standing::Cancelled),
+        Some(JobState::Cancelled),
         "by the next holder"
     );
     all_say_cancelled(&mut w, "j-4");
@@ -165,7 +165,7 @@
     all_say_cancelled(&mut w, "j-6");
     all_say_cancelled(&mut w, "j-7");
     w.pass(3.0);
-    assert_eq!(w.ended("j-7"), Some(Standing::Cancelled));
+    assert_eq!(w.ended("j-7"), Some(JobState::Cancelled));
     assert!(!w.started_ever("j-6"));
 }
 
@@ -177,7 +177,7 @@
     w.pass(3.0);
     w.finish_all();
     w.pass(2.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
     // The word of a cancellation that the store does not confirm changes nothing.
     let (job, revision) = ("j-1".into(), Revision(1));
     w.nodes[0]
@@ -189,7 +189,7 @@
     assert!(w.started_ever("j-2"));
     w.finish_all();
     w.pass(2.0);
-    assert_eq!(w.ended("j-2"), Some(Standing::Done));
+    assert_eq!(w.ended("j-2"), Some(JobState::Done));
 }
 
 #[test]
@@ -207,8 +207,8 @@
     w.pass(6.0);
     all_say_cancelled(&mut w, "j-3");
     w.pass(10.0);
-    assert_eq!(w.ended("j-2"), Some(Standing::Cancelled));
-    assert_eq!(w.ended("j-3"), Some(Standing::Cancelled));
+    assert_eq!(w.ended("j-2"), Some(JobState::Cancelled));
+    assert_eq!(w.ended("j-3"), Some(JobState::Cancelled));
 }
 
 #[test]
@@ -217,7 +217,7 @@
     // The team's limit is 16 cores; the machine has 16.
     let idle = |id: &str| {
         let mut job = desc(id, 8);
-        (job.rank, job.due_s, job.cores) = (Rank::Idle, None, 2.0);
+        (job.priority, job.deadline_s, job.cores) = (Priority::Idle, None, 2.0);
         job
     };
     w.submit(&idle("j-1"));
@@ -227,7 +227,7 @@
     w.pass(30.0);
     w.submit(&idle("j-3"));
     let mut last = needing("j-4", &["j-3"]);
-    (last.rank, last.due_s) = (Rank::High, Some(120.0));
+    (last.priority, last.deadline_s) = (Priority::High, Some(120.0));
     w.submit(&last);
     w.pass(1.0);
     w.finish_all();
@@ -248,7 +248,7 @@
     let key = keys::ended(&JobId::from("j-1"));
     let mut value = w.store.keys[&key].1.clone();
     value.as_object_mut().expect("a record").remove("at");
-    w.store.commit(vec![crate::store::set(key, &value)]);
+    w.store.commit(vec![crate::store::put(key, &value)]);
     w.submit(&needing("j-2", &["j-1"]));
     w.pass(3.0);
     assert!(w.started_ever("j-2"));
@@ -284,7 +284,7 @@
     w.finish(&format!("j-3/{}", ends.expect("a task")));
     w.finish("j-1/0");
     w.pass(2.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
     assert!(w.started_ever("j-2"));
     assert_eq!(older_here(&w), 0, "it waits");
     w.pass(40.0);
--- a/src/controller/tests/fleet.rs
+++ b/src/controller/tests/fleet.rs
@@ -86,8 +86,14 @@
     w.nodes[before].frozen = false;
     // Its clock has moved, and it knows of nothing yet: it answers no worker.
     let report = w.workers[0].report();
-    let answer = w.feed(before, Input::CheckIn { report, ticket: 1 });
-    assert_eq!(answer, Some(super::super::messages::Answer::NotNow));
+    let answer = w.feed(
+        before,
+        Input::Heartbeat {
+            heartbeat: report,
+            request_id: 1,
+        },
+    );
+    assert_eq!(answer, Some(super::super::messages::Answer::Unavailable));
     let words = w.done_directs.len();
     w.feed(before, Input::Tick);
     assert_eq!(w.done_directs.len(), words, "nor does it speak to any");
@@ -244,6 +250,6 @@
     w.finish_all();
     w.pass(6.0);
     for id in ["j-1", "j-10", "j-11"] {
-        assert_eq!(w.ended(id), Some(crate::jobs::Standing::Done));
+        assert_eq!(w.ended(id), Some(crate::jobs::JobState::Done));
     }
 }
--- a/src/controller/tests/formats.rs
+++ b/src/controller/tests/formats.rs
@@ -6,14 +6,15 @@
 
 use super::world::{World, secs};
 use super::*;
-use crate::blocks::{
-    FormatLevel, HolderRecord, LeaderRecord, MachinesRecord, MemberRecord, RentalRecord, TermRecord,
-};
 use crate::ids::{JobId, Label, LeaseId, Revision, Term};
 use crate::jobs::{EndedRecord, JobRecord, ProgressRecord, page_tasks};
 use crate::mesh::{self, Message};
-use crate::store::mirror::Mirror;
-use crate::store::{self, Row};
+use crate::partitions::{
+    FormatLevel, LeaderRecord, MachinesRecord, MemberRecord, PartitionOwnerRecord, ScaleOutRecord,
+    TermRecord,
+};
+use crate::store::{self, KeyValue};
+use crate::watch_cache::WatchCache;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
@@ -50,12 +51,12 @@
     round_trips::<LeaderRecord>("leader");
     round_trips::<Vec<MachineType>>("types");
     round_trips::<MemberRecord>("member");
-    round_trips::<HolderRecord>("holder");
+    round_trips::<PartitionOwnerRecord>("holder");
     round_trips::<MachinesRecord>("machines");
     round_trips::<JobRecord>("job");
     round_trips::<ProgressRecord>("progress");
     round_trips::<EndedRecord>("ended");
-    round_trips::<RentalRecord>("rental");
+    round_trips::<ScaleOutRecord>("rental");
     let known = [
         "term", "leader", "types", "member", "holder", "machines", "job", "progress", "ended",
         "rental", "sums",
@@ -67,24 +68,24 @@
 
 #[test]
 fn the_keys_of_the_version_in_production_are_found_in_the_mirror() {
-    let mut mirror = Mirror::default();
+    let mut cache = WatchCache::default();
     let all = production()["records"].as_array().expect("a list").clone();
-    let rows = all.iter().map(|r| Row {
+    let rows = all.iter().map(|r| KeyValue {
         key: r["key"].as_str().expect("a key").into(),
         value: r["value"].clone(),
         revision: Revision(5),
     });
-    mirror.load(rows.collect());
+    cache.load(rows.collect());
     let id = JobId::from("j-000412");
-    assert_eq!(mirror.term.1.last, Term(41));
-    assert!(mirror.leader.is_some() && mirror.types.is_some());
-    assert_eq!(mirror.members[&Label::from("c0")].1.lease_id, LeaseId(7));
-    assert_eq!(mirror.members[&Label::from("c0")].1.format, FormatLevel(0));
-    assert_eq!(mirror.all_machines().count(), 2);
-    assert_eq!(mirror.jobs[&id].1.desc.dependencies, Vec::<JobId>::new());
-    let pages: Vec<u32> = mirror.progress(&id).map(|(n, ..)| n).collect();
+    assert_eq!(cache.term.1.last, Term(41));
+    assert!(cache.leader.is_some() && cache.types.is_some());
+    assert_eq!(cache.members[&Label::from("c0")].1.lease_id, LeaseId(7));
+    assert_eq!(cache.members[&Label::from("c0")].1.format, FormatLevel(0));
+    assert_eq!(cache.all_machines().count(), 2);
+    assert_eq!(cache.jobs[&id].1.desc.dependencies, Vec::<JobId>::new());
+    let pages: Vec<u32> = cache.progress(&id).map(|(n, ..)| n).collect();
     assert_eq!(pages, vec![2]);
-    assert_eq!(mirror.rentals.len() + mirror.sums.len(), 2);
+    assert_eq!(cache.rentals.len() + cache.sums.len(), 2);
 }
 
 /// The length of a page of progress is not stored: with another one, pages that the other
@@ -109,8 +110,8 @@
         assert_eq!(mesh::encode(&message).expect("a frame"), bytes);
         seen.push(match message {
             Message::PeerState(state) => {
-                let need = &state.blocks[0].needs[0];
-                assert_eq!((need.count, need.estimate_s), (7, 9.5));
+                let need = &state.partitions[0].capacity_requests[0];
+                assert_eq!((need.count, need.estimated_run_time_s), (7, 9.5));
                 "peer state"
             }
             Message::Cancelled { job, revision } => {
@@ -143,7 +144,7 @@
     w.store.leases.insert(lease, (secs(1e6), secs(1e6)));
     let record = json!({"addr": "127.0.0.1:9003", "tenure": lease});
     let label = Label::from(label);
-    let op = store::set_leased(keys::member(&label), &record, LeaseId(lease));
+    let op = store::put_with_lease(keys::member(&label), &record, LeaseId(lease));
     w.store.commit(vec![op]);
 }
 
@@ -160,7 +161,7 @@
     w.pass(3.0);
     w.submit(&desc("j-2", 2));
     w.pass(8.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
     assert!(!w.store.keys.contains_key(keys::FORMAT));
     assert_eq!(w.nodes[0].view.format, FormatLevel(0));
     // By kind: the fields that production writes, and what this version may add.
@@ -237,7 +238,7 @@
         let written = serde_json::to_value(read).expect(text).to_string();
         assert_eq!(written, text);
     }
-    use crate::blocks::{FormatRecord, MachineRecord};
+    use crate::partitions::{FormatRecord, MachineRecord};
     keeps::<FormatRecord>(r#"{"level":1}"#);
     keeps::<MemberRecord>(r#"{"addr":"127.0.0.1:9001","format":1,"tenure":7}"#);
     keeps::<MemberRecord>(r#"{"addr":"127.0.0.1:9001","tenure":7}"#);
--- a/src/controller/tests/loopback/mod.rs
+++ b/src/controller/tests/loopback/mod.rs
@@ -153,7 +153,7 @@
     test.wait("each worker has its token, and has shown it", |site| {
         site.workers
             .iter()
-            .all(|w| w.shown >= w.token && w.token.0 > 0)
+            .all(|w| w.shown_token >= w.fencing_token && w.fencing_token.0 > 0)
     })
     .await;
     let in_x = |site: &Site| -> BTreeSet<String> {
--- a/src/controller/tests/loopback/stand_ins.rs
+++ b/src/controller/tests/loopback/stand_ins.rs
@@ -5,8 +5,8 @@
 use crate::controller::http::{HttpRequest, Pool};
 use crate::fleet::MachineType;
 use crate::ids::{FencingToken, LeaseId, Revision};
-use crate::store::{self, Change, Cond, Op, Reply, Row};
-use crate::workers::Order;
+use crate::store::{self, Compare, KeyValue, Mutation, Reply, WatchEvent};
+use crate::workers::WorkerCommand;
 use salvo::conn::{Listener, TcpListener};
 use salvo::http::StatusCode;
 use salvo::prelude::{Request, Response, Router, Server, Service, handler};
@@ -74,7 +74,7 @@
         let (now, lease, time) = (self.now(), self.lease, self.task_time);
         let w = &mut self.workers[worker];
         if now.since(w.last_answer) > lease {
-            w.session += 1;
+            w.agent_epoch += 1;
             w.tasks.clear();
             w.last_answer = now;
         }
@@ -87,7 +87,7 @@
         w.began.retain(|task, _| w.tasks.contains_key(task));
     }
 
-    fn carry_out(&mut self, worker: usize, orders: &[Order]) {
+    fn carry_out(&mut self, worker: usize, orders: &[WorkerCommand]) {
         let now = self.now();
         self.workers[worker].run(orders);
         for (task, _) in std::mem::take(&mut self.workers[worker].launched) {
@@ -150,7 +150,7 @@
 
     pub async fn serve_cloud(&self) -> String {
         let router = Router::new()
-            .push(Router::with_path("machine_types").get(Types(self.clone())))
+            .push(Router::with_path("machine_types").get(MachineTypes(self.clone())))
             .push(
                 Router::with_path("machines")
                     .get(Machines(self.clone()))
@@ -168,7 +168,8 @@
             site.workers.push(FakeWorker::new(at, "small", zone, now));
             at
         };
-        let router = Router::new().push(Router::with_path("do").post(Direct(self.clone(), at)));
+        let router =
+            Router::new().push(Router::with_path("do").post(DirectCommand(self.clone(), at)));
         let address = Shared::listen(router).await;
         self.lock().addresses.push(address);
         tokio::task::spawn_local(report(self.clone(), at, controllers));
@@ -212,8 +213,8 @@
 
 fn report_of(site: &mut Site, at: usize) -> Value {
     let worker = &mut site.workers[at];
-    worker.sequence += 1;
-    worker.shown = worker.token;
+    worker.heartbeat_sequence += 1;
+    worker.shown_token = worker.fencing_token;
     let tasks: Vec<Value> = worker
         .tasks
         .iter()
@@ -221,35 +222,35 @@
             json!({"hand": task, "try": attempt, "standing": state, "cause": cause})
         })
         .collect();
-    json!({"rig": worker.id, "addr": "", "build": worker.build, "yard": worker.zone,
-           "loaners": false, "shift": worker.session, "tally": worker.sequence,
-           "baton": worker.token, "hands": tasks})
+    json!({"rig": worker.id, "addr": "", "build": worker.machine_type, "yard": worker.zone,
+           "loaners": false, "shift": worker.agent_epoch, "tally": worker.heartbeat_sequence,
+           "baton": worker.fencing_token, "hands": tasks})
 }
 
 fn obey(site: &mut Site, at: usize, answer: &Value) {
     let token = FencingToken(answer["baton"].as_u64().unwrap_or(0));
-    if token < site.workers[at].token {
+    if token < site.workers[at].fencing_token {
         return;
     }
     let now = site.now();
-    site.workers[at].token = token;
+    site.workers[at].fencing_token = token;
     site.workers[at].last_answer = now;
     let orders = read_orders(&answer["orders"]);
     site.carry_out(at, &orders);
 }
 
-fn read_orders(orders: &Value) -> Vec<Order> {
+fn read_orders(orders: &Value) -> Vec<WorkerCommand> {
     let read = |order: &Value| {
         let task = order["hand"].as_str()?.to_owned();
         let attempt = crate::ids::AttemptId(order["try"].as_u64()?);
         Some(match order["verb"].as_str()? {
-            "launch" => Order::Launch { task, attempt },
-            "halt" => Order::Halt {
+            "launch" => WorkerCommand::Launch { task, attempt },
+            "halt" => WorkerCommand::Stop {
                 task,
                 attempt,
-                leeway_s: 0.0,
+                grace_period_s: 0.0,
             },
-            _ => Order::Reap { task, attempt },
+            _ => WorkerCommand::Reap { task, attempt },
         })
     };
     orders
@@ -270,11 +271,11 @@
     let _ = res.write_body(body.to_string());
 }
 
-fn row(row: &Row) -> Value {
+fn row(row: &KeyValue) -> Value {
     json!({"k": row.key, "value": row.value, "stamp": row.revision})
 }
 
-fn change(change: &Change) -> Value {
+fn change(change: &WatchEvent) -> Value {
     match &change.set {
         Some(key) => json!({"set": key, "value": change.value, "stamp": change.revision}),
         None => json!({"delete": change.delete, "stamp": change.revision}),
@@ -288,11 +289,11 @@
 struct Renew(Shared);
 struct EndLease(Shared);
 struct Follow(Shared);
-struct Types(Shared);
+struct MachineTypes(Shared);
 struct Machines(Shared);
 struct NoCapacity;
 struct Return(Shared);
-struct Direct(Shared, usize);
+struct DirectCommand(Shared, usize);
 
 impl Shared {
     fn ask(&self, request: store::Request) -> Reply {
@@ -310,7 +311,7 @@
         send(
             res,
             200,
-            &json!({"rows": rows, "more": false, "ledger": site.store.ledger}),
+            &json!({"rows": rows, "more": false, "ledger": site.store.revision}),
         );
     }
 }
@@ -320,7 +321,7 @@
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let key = req.param::<String>("key").unwrap_or_default();
         match self.0.ask(store::Request::Get { key }) {
-            Reply::Found(found) => send(res, 200, &row(&found)),
+            Reply::Value(found) => send(res, 200, &row(&found)),
             _ => send(res, 404, &json!({"ledger": 1})),
         }
     }
@@ -331,33 +332,36 @@
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let body = body(req).await;
         let key = |v: &Value, name: &str| v[name].as_str().unwrap_or_default().to_owned();
-        let cond = |v: &Value| Cond {
+        let cond = |v: &Value| Compare {
             key: key(v, "k"),
             revision: Revision(v["stamp"].as_u64().unwrap_or(0)),
         };
         let op = |v: &Value| match v.get("set") {
-            Some(_) => Op::Set {
+            Some(_) => Mutation::Set {
                 key: key(v, "set"),
                 value: v["value"].clone(),
                 lease_id: v["tenure"].as_u64().map(LeaseId),
             },
-            None => Op::Delete {
+            None => Mutation::Delete {
                 key: key(v, "delete"),
             },
         };
-        let conds = body["if"]
+        let compares = body["if"]
             .as_array()
             .into_iter()
             .flatten()
             .map(cond)
             .collect();
-        let ops = body["then"]
+        let mutations = body["then"]
             .as_array()
             .into_iter()
             .flatten()
             .map(op)
             .collect();
-        match self.0.ask(store::Request::Txn { conds, ops }) {
+        match self.0.ask(store::Request::CompareAndSwap {
+            compares,
+            mutations,
+        }) {
             Reply::Committed(revision) => send(res, 200, &json!({"ledger": revision})),
             Reply::Conflict(failed) => send(res, 409, &json!({"failed": failed, "ledger": 1})),
             _ => send(res, 400, &json!({"error": "no such lease"})),
@@ -370,7 +374,7 @@
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let life = body(req).await["lifeMs"].as_u64().unwrap_or(1_000);
         let life = Micros::from_millis(life);
-        if let Reply::Leased(id) = self.0.ask(store::Request::NewLease { life }) {
+        if let Reply::LeaseGranted(id) = self.0.ask(store::Request::GrantLease { ttl: life }) {
             send(res, 200, &json!({"tenure": id}));
         }
     }
@@ -383,10 +387,14 @@
 #[handler]
 impl Renew {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
-        let reply = self.0.ask(store::Request::Renew {
+        let reply = self.0.ask(store::Request::RenewLease {
             lease_id: lease_id(req),
         });
-        let status = if reply == Reply::Done { 200 } else { 404 };
+        let status = if reply == Reply::Acknowledged {
+            200
+        } else {
+            404
+        };
         send(res, status, &json!({}));
     }
 }
@@ -394,7 +402,7 @@
 #[handler]
 impl EndLease {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
-        self.0.ask(store::Request::EndLease {
+        self.0.ask(store::Request::RevokeLease {
             lease_id: lease_id(req),
         });
         send(res, 200, &json!({}));
@@ -416,7 +424,11 @@
                 let new = log.partition_point(|c| c.revision.0 <= since);
                 if new < log.len() || Instant::now() >= until {
                     let log: Vec<Value> = log[new..].iter().map(change).collect();
-                    send(res, 200, &json!({"ledger": site.store.ledger, "log": log}));
+                    send(
+                        res,
+                        200,
+                        &json!({"ledger": site.store.revision, "log": log}),
+                    );
                     return;
                 }
             }
@@ -426,7 +438,7 @@
 }
 
 #[handler]
-impl Types {
+impl MachineTypes {
     async fn handle(&self, res: &mut Response) {
         let types = self.0.lock().types.clone();
         send(res, 200, &json!({"builds": types}));
@@ -441,7 +453,7 @@
         let rigs: Vec<Value> = there
             .map(|w| {
                 let (worker, addr) = (&site.workers[w], &site.addresses[w]);
-                json!({"id": worker.id, "addr": addr, "build": worker.build, "yard": worker.zone,
+                json!({"id": worker.id, "addr": addr, "build": worker.machine_type, "yard": worker.zone,
                        "loaners": false, "standing": "running", "heldS": 60.0})
             })
             .collect();
@@ -479,7 +491,7 @@
 }
 
 #[handler]
-impl Direct {
+impl DirectCommand {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let body = body(req).await;
         while self.0.lock().cut.contains(&self.1) {
@@ -490,9 +502,10 @@
         site.work(self.1);
         let worker = &mut site.workers[self.1];
         let token = FencingToken(body["baton"].as_u64().unwrap_or(0));
-        let is_valid = token >= worker.token && body["shift"].as_u64() == Some(worker.session);
+        let is_valid =
+            token >= worker.fencing_token && body["shift"].as_u64() == Some(worker.agent_epoch);
         if is_valid {
-            worker.token = token;
+            worker.fencing_token = token;
             let orders = read_orders(&body["orders"]);
             site.carry_out(self.1, &orders);
         }
--- a/src/controller/tests/meetings.rs
+++ b/src/controller/tests/meetings.rs
@@ -4,13 +4,13 @@
 use super::fleet::two_blocks;
 use super::started;
 use super::world::{Node, World, secs};
-use crate::blocks::MachinesRecord;
 use crate::controller::messages::{Answer, Input};
 use crate::ids::{MachineId, Revision};
-use crate::jobs::Standing;
+use crate::jobs::JobState;
 use crate::jobs::tests::desc;
 use crate::mesh::Message;
-use crate::store::Op;
+use crate::partitions::MachinesRecord;
+use crate::store::Mutation;
 use std::collections::BTreeMap;
 
 /// The store refuses the holder alone, another node confirms cancellations, and then
@@ -66,13 +66,13 @@
     let holder = w.holder();
     w.nodes[holder].refused = true;
     w.cancel("j-1");
-    let (job, revision) = ("j-1".into(), Revision(w.store.ledger));
+    let (job, revision) = ("j-1".into(), Revision(w.store.revision));
     w.feed((holder + 1) % 3, Input::Cancelled { job, revision });
     w.pass(4.0);
     assert_eq!(w.all_running(), 0);
     // A job that comes to it after the word of its end: its reading lags behind.
     w.nodes[holder].refused = false;
-    let (job, revision) = ("j-2".into(), Revision(w.store.ledger + 100));
+    let (job, revision) = ("j-2".into(), Revision(w.store.revision + 100));
     w.feed(holder, Input::Mesh(Message::Cancelled { job, revision }));
     w.submit(&desc("j-2", 1));
     w.submit(&desc("j-3", 1));
@@ -104,7 +104,7 @@
     let copies = [w.workers[0].report(), w.workers[1].report()];
     w.finish_all();
     w.pass(4.0);
-    let before: Vec<u64> = w.workers.iter().map(|m| m.token.0).collect();
+    let before: Vec<u64> = w.workers.iter().map(|m| m.fencing_token.0).collect();
     // Away: what was submitted and cancelled meanwhile comes with the reading.
     w.submit(&desc("j-7", 1));
     w.pass(2.0);
@@ -118,7 +118,7 @@
     for copy in &copies {
         assert_eq!(
             w.late_copy(0, copy),
-            Some(Answer::NotNow),
+            Some(Answer::Unavailable),
             "older than known"
         );
     }
@@ -130,12 +130,12 @@
     );
     assert!(w.running("j-7/0").is_empty());
     assert_eq!(w.all_running(), 2);
-    let after: Vec<u64> = w.workers.iter().map(|m| m.token.0).collect();
+    let after: Vec<u64> = w.workers.iter().map(|m| m.fencing_token.0).collect();
     assert!(before.iter().zip(&after).all(|(b, a)| b <= a));
     let lease_s = w.nodes[0].settings.platform.workers.lease_s;
     w.pass(lease_s + 5.0);
     assert!(
-        w.workers.iter().all(|m| m.session == 1),
+        w.workers.iter().all(|m| m.agent_epoch == 1),
         "answered all along"
     );
 }
@@ -162,8 +162,14 @@
     w.nodes[before].no_store = true;
     w.nodes[before].no_workers = false;
     let report = w.workers[0].report();
-    let answer = w.feed(before, Input::CheckIn { report, ticket: 1 });
-    assert!(!matches!(answer, Some(Answer::Orders(_))), "{answer:?}");
+    let answer = w.feed(
+        before,
+        Input::Heartbeat {
+            heartbeat: report,
+            request_id: 1,
+        },
+    );
+    assert!(!matches!(answer, Some(Answer::Accepted(_))), "{answer:?}");
     w.pass(60.0);
     assert_ne!(w.holder(), before);
     assert_eq!(w.all_running(), 8);
@@ -182,8 +188,14 @@
     w.nodes[holder].no_workers = false;
     w.pass(2.0);
     let report = w.workers[0].report();
-    let answer = w.feed(holder, Input::CheckIn { report, ticket: 1 });
-    assert!(matches!(answer, Some(Answer::Orders(_))), "{answer:?}");
+    let answer = w.feed(
+        holder,
+        Input::Heartbeat {
+            heartbeat: report,
+            request_id: 1,
+        },
+    );
+    assert!(matches!(answer, Some(Answer::Accepted(_))), "{answer:?}");
 }
 
 /// Where the store has each machine.
@@ -215,14 +227,18 @@
     // New machines come up while the leader's writes get no answer.
     w.nodes[by].late = true;
     w.add_machines(4);
-    let is_ours = |ops: &Vec<Op>| format!("{ops:?}").contains("m-000002");
+    let is_ours = |mutations: &Vec<Mutation>| format!("{mutations:?}").contains("m-000002");
     let mut passed = 0;
-    while !w.held_txns.iter().any(|(_, ops)| is_ours(ops)) {
+    while !w.held_txns.iter().any(|(_, mutations)| is_ours(mutations)) {
         w.pass(0.1);
         passed += 1;
         assert!(passed < 100, "the write goes out");
     }
-    let first = w.held_txns.iter().find(|(_, ops)| is_ours(ops)).cloned();
+    let first = w
+        .held_txns
+        .iter()
+        .find(|(_, mutations)| is_ours(mutations))
+        .cloned();
     let first = first.expect("the write");
     // Work comes, of the other block's team: it lacks room, so all new ones go there.
     let to_first = format!("{first:?}").contains("r/blocks/0/machines");
@@ -238,8 +254,8 @@
         assert!(passed < 100, "recorded without it");
     }
     let late = vec![first];
-    for (conds, ops) in late {
-        w.store.txn(&conds, ops);
+    for (compares, mutations) in late {
+        w.store.txn(&compares, mutations);
     }
     for (id, at) in records(&w) {
         assert_eq!(at.len(), 1, "{id} is in {at:?}");
@@ -260,8 +276,8 @@
     w.crash(before);
     w.cancel("j-1");
     // It hears the new token, and nothing after that.
-    let first = w.workers[at].token;
-    while w.workers[at].token == first {
+    let first = w.workers[at].fencing_token;
+    while w.workers[at].fencing_token == first {
         w.pass(0.1);
     }
     w.workers[at].unreachable = true;
@@ -298,8 +314,8 @@
         .as_object_mut()
         .expect("an object")
         .remove("footprint");
-    let first = w.workers[at].token;
-    while w.workers[at].token == first {
+    let first = w.workers[at].fencing_token;
+    while w.workers[at].fencing_token == first {
         w.pass(0.1);
     }
     w.workers[at].unreachable = true;
@@ -323,7 +339,7 @@
     w.pass(6.0);
     assert_eq!(
         w.ended("j-1"),
-        Some(Standing::Done),
+        Some(JobState::Done),
         "its answers tell of the end"
     );
     // It is heard of now and then, by answers to direct commands: work that comes any
@@ -378,13 +394,13 @@
     // From the sessions before: they show what is over.
     let holder = w.holder();
     for copy in &copies {
-        assert_eq!(w.late_copy(holder, copy), Some(Answer::NotNow));
+        assert_eq!(w.late_copy(holder, copy), Some(Answer::Unavailable));
     }
     w.pass(8.0);
     assert_eq!(w.all_running(), 8);
     w.finish_all();
     w.pass(4.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
 }
 
 /// Seen as 2,244 connections that found no healthy controller in an outage of 70 s.
@@ -446,7 +462,7 @@
     for round in (0..10).filter(|r| !(5..=7).contains(r)) {
         assert_eq!(
             w.ended(&format!("j-{round}")),
-            Some(Standing::Done),
+            Some(JobState::Done),
             "{round}"
         );
     }
@@ -459,7 +475,7 @@
         w.workers[at].zone = "y";
     }
     let mut bound = desc("j-1", 4);
-    bound.one_zone = true;
+    bound.single_zone = true;
     w.submit(&bound);
     w.pass(3.0);
     let zone = w.workers[w.running("j-1/0")[0]].zone;
@@ -504,15 +520,15 @@
     w.nodes[before].late = false;
     w.crash(before);
     w.pass(30.0);
-    for (conds, ops) in std::mem::take(&mut w.held_txns) {
-        w.store.txn(&conds, ops);
+    for (compares, mutations) in std::mem::take(&mut w.held_txns) {
+        w.store.txn(&compares, mutations);
     }
     assert_eq!(w.ended("j-1"), None);
     w.pass(5.0);
     assert!(w.running("j-1/0").is_empty(), "known to be done");
     w.finish("j-1/2");
     w.pass(6.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
 }
 
 #[test]
@@ -557,8 +573,8 @@
     w.pass(6.0);
     let done = |w: &World| w.store.keys["r/done/j-1/0000"].1["done"].clone();
     let both = done(&w);
-    for (conds, ops) in late {
-        w.store.txn(&conds, ops);
+    for (compares, mutations) in late {
+        w.store.txn(&compares, mutations);
     }
     assert_eq!(done(&w), both);
     // Nor does one of a job that has ended meanwhile bring anything back.
@@ -569,8 +585,8 @@
     let late = std::mem::take(&mut w.held_txns);
     w.cancel("j-1");
     w.pass(20.0);
-    for (conds, ops) in late {
-        w.store.txn(&conds, ops);
+    for (compares, mutations) in late {
+        w.store.txn(&compares, mutations);
     }
     assert!(!w.store.keys.keys().any(|k| k.starts_with("r/done/j-1/")));
 }
--- a/src/controller/tests/mod.rs
+++ b/src/controller/tests/mod.rs
@@ -16,7 +16,7 @@
 use super::messages::{Answer, Input};
 use crate::fleet::MachineType;
 use crate::ids::{AttemptId, MachineId};
-use crate::jobs::Standing;
+use crate::jobs::JobState;
 use crate::jobs::tests::{desc, types};
 use crate::settings::tests::settings;
 use crate::store::{Reply, keys};
@@ -44,7 +44,7 @@
     );
     w.hold_job_txns = false;
     w.pass(6.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
     assert!(w.workers[0].tasks.is_empty(), "reaped");
 }
 
@@ -58,14 +58,14 @@
     w.pass(3.0);
     w.hold_job_txns = false;
     w.pass(5.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
-    for (conds, ops) in std::mem::take(&mut w.held_txns) {
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
+    for (compares, mutations) in std::mem::take(&mut w.held_txns) {
         assert!(
-            matches!(w.store.txn(&conds, ops), Reply::Conflict(_)),
+            matches!(w.store.txn(&compares, mutations), Reply::Conflict(_)),
             "its revisions have moved on"
         );
     }
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
 }
 
 #[test]
@@ -83,7 +83,7 @@
     }
     w.finish_all();
     w.pass(4.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
 }
 
 #[test]
@@ -154,7 +154,7 @@
     assert_eq!(w.running("j-1/0").len(), 1, "launched by an answer instead");
     w.finish_all();
     w.pass(6.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
     let (at, late) = w.held_directs.remove(0);
     w.workers[at].direct(&late);
     assert_eq!(
@@ -208,14 +208,14 @@
         let r = w.workers[0].report();
         w.feed(
             0,
-            Input::CheckIn {
-                report: r,
-                ticket: 1,
+            Input::Heartbeat {
+                heartbeat: r,
+                request_id: 1,
             },
         )
     };
     assert!(
-        matches!(answer, Some(Answer::Orders(_))),
+        matches!(answer, Some(Answer::Accepted(_))),
         "an outage shorter than the lease"
     );
     w.pass(15.0);
@@ -223,12 +223,12 @@
     assert_eq!(
         w.feed(
             0,
-            Input::CheckIn {
-                report: r,
-                ticket: 1
+            Input::Heartbeat {
+                heartbeat: r,
+                request_id: 1
             }
         ),
-        Some(Answer::NotNow)
+        Some(Answer::Unavailable)
     );
     // The store is back; it goes on under a lease, old or new.
     w.store.down = false;
@@ -257,7 +257,7 @@
     assert_eq!(w.all_running(), 4);
     w.finish_all();
     w.pass(4.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
 }
 
 #[test]
@@ -269,12 +269,12 @@
     assert_eq!(
         w.feed(
             other,
-            Input::CheckIn {
-                report: r,
-                ticket: 1
+            Input::Heartbeat {
+                heartbeat: r,
+                request_id: 1
             }
         ),
-        Some(Answer::Elsewhere(label))
+        Some(Answer::Redirect(label))
     );
     // A machine that no block has is answered by nobody.
     let mut r = w.workers[0].report();
@@ -282,12 +282,12 @@
     assert_eq!(
         w.feed(
             other,
-            Input::CheckIn {
-                report: r,
-                ticket: 1
+            Input::Heartbeat {
+                heartbeat: r,
+                request_id: 1
             }
         ),
-        Some(Answer::NotNow)
+        Some(Answer::Unavailable)
     );
 }
 
@@ -310,12 +310,12 @@
 fn zones_and_limits_hold_for_every_task() {
     let mut w = started(1, 3);
     let mut one = desc("j-1", 100);
-    one.one_zone = true;
+    one.single_zone = true;
     w.submit(&one);
-    let mut apart = desc("j-2", 5);
-    apart.apart = true;
-    apart.team = "blue".into();
-    w.submit(&apart);
+    let mut anti_affinity = desc("j-2", 5);
+    anti_affinity.anti_affinity = true;
+    anti_affinity.team = "blue".into();
+    w.submit(&anti_affinity);
     w.pass(4.0);
     let of = |w: &World, job: &str| {
         let mine = |h: &&String| h.starts_with(job);
@@ -362,7 +362,7 @@
     let mut array = desc("j-1", 400);
     array.team = "guests".into();
     array.cores = 0.25;
-    array.mem = 0.5;
+    array.memory_gb = 0.5;
     let s = &w.nodes[0].settings;
     assert_eq!(array.admissible(s, &types()), Ok(()));
     w.submit(&array);
@@ -376,7 +376,7 @@
         1
     );
     w.pass(20.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
 }
 
 /// The design's watch item: failing tasks hold nothing, so that their team stayed the
@@ -448,7 +448,7 @@
     // Whatever was wrong is mended: one success, and all of it runs.
     w.mistaken.clear();
     w.pass(60.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
 }
 
 #[test]
--- a/src/controller/tests/pairs.rs
+++ b/src/controller/tests/pairs.rs
@@ -7,11 +7,11 @@
 
 use super::characterization::WireRecorder;
 use super::world::{World, secs};
-use crate::api::read_index::Found;
+use crate::api::read_index::JobLookup;
 use crate::clock::Micros;
 use crate::controller::messages::Input;
 use crate::ids::{JobId, Revision};
-use crate::jobs::Standing;
+use crate::jobs::JobState;
 use crate::jobs::tests::desc;
 use crate::subsystems::Subsystems;
 use rand::rngs::StdRng;
@@ -107,7 +107,7 @@
     jobs: Vec<JobId>,
     kind: Kind,
     /// How each job was last said to have ended.
-    told: BTreeMap<usize, Standing>,
+    told: BTreeMap<usize, JobState>,
 }
 
 const NODES: usize = 3;
@@ -119,7 +119,7 @@
         w.renting = true;
         w.task_time = Some(secs(6.0));
         for at in 0..2 {
-            (w.workers[at].build, w.workers[at].zone) = ("small", "y");
+            (w.workers[at].machine_type, w.workers[at].zone) = ("small", "y");
         }
         if kind == Kind::Zones {
             let file = Subsystems::parse(ZONES_ON, &w.nodes[0].settings).expect("a file");
@@ -165,8 +165,8 @@
             Trouble::LateWrites => {
                 w.nodes[i].late = on;
                 if !on {
-                    for (conds, ops) in std::mem::take(&mut w.held_txns) {
-                        w.store.txn(&conds, ops);
+                    for (compares, mutations) in std::mem::take(&mut w.held_txns) {
+                        w.store.txn(&compares, mutations);
                     }
                 }
             }
@@ -229,13 +229,13 @@
         d.tasks = *[1, 2, 3, 5].choose(&mut self.rng).expect("one");
         d.cores = *[1.0, 2.0, 4.0, 8.0].choose(&mut self.rng).expect("one");
         d.team = ["red", "blue"][self.rng.random_range(0..2)].into();
-        d.due_s = self.rng.random_bool(0.5).then_some(60.0);
-        d.checkpoint_s = if self.rng.random_bool(0.3) { 5.0 } else { 0.0 };
+        d.deadline_s = self.rng.random_bool(0.5).then_some(60.0);
+        d.checkpoint_interval_s = if self.rng.random_bool(0.3) { 5.0 } else { 0.0 };
         match self.rng.random_range(0..8) {
-            0 => d.one_zone = true,
-            1 if d.cores <= 4.0 => d.apart = true,
+            0 => d.single_zone = true,
+            1 if d.cores <= 4.0 => d.anti_affinity = true,
             2 => d.zone = Some("x".into()),
-            3 => d.builds = Some(vec!["big".into()]),
+            3 => d.machine_types = Some(vec!["big".into()]),
             4 if self.rng.random_bool(0.3) => {
                 self.w.mistaken.insert(d.id.clone());
             }
@@ -261,7 +261,7 @@
         let by = (0..NODES).find(|i| able(&self.w.nodes[*i]) && !self.w.nodes[*i].frozen);
         if let Some(by) = by.filter(|_| lives && !self.w.store.down) {
             self.w.cancel(id.as_str());
-            let (job, revision) = (id.clone(), Revision(self.w.store.ledger));
+            let (job, revision) = (id.clone(), Revision(self.w.store.revision));
             self.w.feed(by, Input::Cancelled { job, revision });
         }
     }
@@ -299,23 +299,23 @@
 
     /// No answer goes back, and none is forgotten.
     fn listen(&mut self) {
-        for (node, ticket, found) in std::mem::take(&mut self.w.found) {
-            let n = ticket as usize;
+        for (node, request_id, found) in std::mem::take(&mut self.w.found) {
+            let n = request_id as usize;
             let id = &self.jobs[n];
             match found {
-                Found::Unreadable => {}
-                Found::Nothing => panic!("{id} is forgotten by node {node}"),
-                Found::Live { .. } => {
+                JobLookup::Unavailable => {}
+                JobLookup::NotFound => panic!("{id} is forgotten by node {node}"),
+                JobLookup::Live { .. } => {
                     assert_eq!(self.told.get(&n), None, "{id} went back at node {node}");
                     // Cancellations of this second came before its questions.
                     let orphaned = self.w.is_cancelled(id);
                     assert!(!orphaned, "{id} is cancelled, but not at node {node}");
                 }
-                Found::Ended(rec) => {
-                    let first = *self.told.entry(n).or_insert(rec.standing);
-                    assert_eq!(first, rec.standing, "{id} at node {node}");
+                JobLookup::Ended(rec) => {
+                    let first = *self.told.entry(n).or_insert(rec.state);
+                    assert_eq!(first, rec.state, "{id} at node {node}");
                     let cancelled = self.w.is_cancelled(id);
-                    assert_eq!(cancelled, rec.standing == Standing::Cancelled, "{id}");
+                    assert_eq!(cancelled, rec.state == JobState::Cancelled, "{id}");
                 }
             }
         }
@@ -379,7 +379,7 @@
         }
         self.w.pass(1.0);
         assert_eq!(self.w.found.len(), NODES * self.jobs.len());
-        let dumb = |f: &&(usize, u64, Found)| f.2 == Found::Unreadable;
+        let dumb = |f: &&(usize, u64, JobLookup)| f.2 == JobLookup::Unavailable;
         assert_eq!(self.w.found.iter().find(dumb), None);
         self.listen();
     }
--- a/src/controller/tests/size.rs
+++ b/src/controller/tests/size.rs
@@ -2,7 +2,7 @@
 
 use super::world::{World, secs};
 use crate::jobs::tests::desc;
-use crate::jobs::{Rank, Standing, page_tasks};
+use crate::jobs::{JobState, Priority, page_tasks};
 use serde_json::Value;
 
 /// Five controllers, and limits that two thousand machines of 16 cores need.
@@ -57,7 +57,7 @@
     let changes = w.store.changes;
     w.finish_all();
     w.pass(6.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
     let spent = w.store.changes - changes;
     assert!(spent < 200, "{spent} changes for the end of one job");
 }
@@ -72,7 +72,7 @@
     let page = page_tasks(w.nodes[0].settings.platform.state.value_kb);
     let pages = 6;
     let mut array = desc("j-1", pages * page);
-    (array.cores, array.mem) = (0.003, 0.01);
+    (array.cores, array.memory_gb) = (0.003, 0.01);
     w.submit(&array);
     w.pass(10.0);
     assert_eq!(w.all_running(), (pages * page) as usize);
@@ -103,13 +103,13 @@
     let jobs = 100;
     for i in 0..jobs {
         let mut probe = desc(&format!("j-{i}"), 1);
-        (probe.cores, probe.mem) = (0.1, 0.1);
+        (probe.cores, probe.memory_gb) = (0.1, 0.1);
         w.submit(&probe);
         w.pass(0.2);
     }
     w.pass(10.0);
     for i in 0..jobs {
-        assert_eq!(w.ended(&format!("j-{i}")), Some(Standing::Done));
+        assert_eq!(w.ended(&format!("j-{i}")), Some(JobState::Done));
     }
     // One to be accepted, two to end.
     let spent = w.store.changes - changes;
@@ -121,7 +121,7 @@
 /// and no guarantee can stop nothing, and so needs no walk over the machines.
 #[test]
 fn what_may_stop_nothing_costs_no_walk_over_the_machines() {
-    let spent = |rank: Rank| {
+    let spent = |rank: Priority| {
         let mut w = World::with(1, 4, |v| {
             let teams = v["settings"]["teams"].as_array_mut().expect("teams");
             teams.push(serde_json::json!({"name": "guests"}));
@@ -129,19 +129,19 @@
         w.pass(6.0);
         for (id, team) in [("j-1", "red"), ("j-2", "blue")] {
             let mut all = desc(id, 100);
-            (all.team, all.due_s) = (team.into(), None);
+            (all.team, all.deadline_s) = (team.into(), None);
             w.submit(&all);
         }
         w.pass(3.0);
         let mut late = desc("j-3", 100);
-        (late.team, late.rank, late.due_s) = ("guests".into(), rank, None);
+        (late.team, late.priority, late.deadline_s) = ("guests".into(), rank, None);
         w.submit(&late);
         w.pass(15.0);
         let before = w.machines_compared();
         w.pass(5.0);
         w.machines_compared() - before
     };
-    let (idle, production) = (spent(Rank::Idle), spent(Rank::Production));
+    let (idle, production) = (spent(Priority::Idle), spent(Priority::Production));
     assert!(idle < production, "{idle} and {production}");
 }
 
@@ -193,8 +193,8 @@
     assert_eq!(w.all_running(), machines);
     w.finish_all();
     w.pass(6.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
-    assert_eq!(w.ended("j-2"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
+    assert_eq!(w.ended("j-2"), Some(JobState::Done));
     // A minute is charged anyway.
     w.pass(50.0);
     assert_eq!(w.returned.len(), machines);
--- a/src/controller/tests/state_limits.rs
+++ b/src/controller/tests/state_limits.rs
@@ -3,9 +3,9 @@
 
 use super::world::World;
 use super::*;
-use crate::blocks::{MachineRecord, MachinesRecord};
-use crate::ids::{BlockId, JobId, Term};
-use crate::store::{self, Op};
+use crate::ids::{JobId, PartitionId, Term};
+use crate::partitions::{MachineRecord, MachinesRecord};
+use crate::store::{self, Mutation};
 use serde_json::{Value, json};
 
 const VALUE_BYTES: usize = 2 * 1024;
@@ -43,7 +43,7 @@
 }
 
 /// A shard as the version in production fills it under the higher limit.
-fn old_shard(machines: usize, used: bool) -> Op {
+fn old_shard(machines: usize, used: bool) -> Mutation {
     let mut shard = MachinesRecord::default();
     for n in 0..machines {
         let id = MachineId::from(format!("m-{n:06}"));
@@ -51,7 +51,7 @@
         rec.used = used;
         shard.0.insert(id, rec);
     }
-    store::set(keys::machines(BlockId(0), 0), &shard)
+    store::put(keys::shard(PartitionId(0), 0), &shard)
 }
 
 #[test]
@@ -74,7 +74,7 @@
     assert_eq!(w.all_running(), 300, "what was done does not run again");
     w.finish_all();
     w.pass(20.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
 }
 
 /// With 60 machines in one shard of some 4 KB, of which nothing could be changed any more.
@@ -121,7 +121,8 @@
     let done: Vec<(u32, u32)> = (0..400).map(|i| (2 * i, 2 * i + 1)).collect();
     let page = json!({"owner": "c0", "done": done, "running": 0});
     let id = JobId::from("j-1");
-    w.store.commit(vec![store::set(keys::page(&id, 0), &page)]);
+    w.store
+        .commit(vec![store::put(keys::progress_page(&id, 0), &page)]);
     fall(&mut w);
     // The next holder learns it from the record.
     let holder = w.holder();
@@ -148,14 +149,14 @@
     assert_eq!(w.all_running(), 390, "none of those that were done");
     w.finish_all();
     w.pass(20.0);
-    assert_eq!(w.ended("j-1"), Some(Standing::Done));
+    assert_eq!(w.ended("j-1"), Some(JobState::Done));
     let left = w.store.keys.keys().filter(|k| k.starts_with("r/done/"));
     assert_eq!(left.count(), 0, "nothing is left of it");
 }
 
 #[test]
 fn a_shard_splits_into_parts_of_which_each_fits() {
-    let Op::Set { value, .. } = old_shard(70, false) else {
+    let Mutation::Set { value, .. } = old_shard(70, false) else {
         panic!("a shard");
     };
     let shard: MachinesRecord = serde_json::from_value(value).expect("a shard");
@@ -168,7 +169,7 @@
         // As large as they can get: in use, given up, and under a late term.
         for m in part.0.values_mut() {
             m.term = Term(9_999_999);
-            (m.used, m.freed) = (true, Some(crate::blocks::Freed::Return));
+            (m.used, m.release_reason) = (true, Some(crate::partitions::ReleaseReason::Return));
             m.addr = "10.100.100.100:9000".into();
         }
         let bytes = serde_json::to_string(&part).expect("a shard").len();
