--- a/src/controller/tests/world.rs
+++ b/src/controller/tests/world.rs
@@ -1,20 +1,20 @@
 //! A scripted store, cloud and workers around the cores, under a fake clock.
 
 use super::super::core::Core;
-use super::super::messages::{Answer, DirectAnswer, Effect, Input, StoreOperation, View};
+use super::super::messages::{Answer, ApiView, DirectAnswer, Effect, Input, StoreOperation};
 use super::characterization::WireRecorder;
-use crate::api::read_index::Found;
+use crate::api::read_index::JobLookup;
 use crate::clock::Micros;
-use crate::fleet::{CloudReply, CloudRequest, CloudStanding, Listed, MachineType};
-use crate::ids::{BlockId, FencingToken, JobId, Label, LeaseId, MachineId, Revision, TaskId};
+use crate::fleet::{CloudMachine, CloudReply, CloudRequest, InstanceState, MachineType};
+use crate::ids::{FencingToken, JobId, Label, LeaseId, MachineId, PartitionId, Revision, TaskId};
 use crate::jobs::tests::types;
-use crate::jobs::{EndedRecord, JobDesc, JobRecord, Standing};
+use crate::jobs::{EndedRecord, JobDesc, JobRecord, JobState};
 use crate::policy::tests::standard;
 use crate::settings::Settings;
 use crate::settings::tests::example;
-use crate::store::{self, Change, Cond, Op, Reply, Request, Row, cond, keys};
+use crate::store::{self, Compare, KeyValue, Mutation, Reply, Request, WatchEvent, compare, keys};
 use crate::subsystems::Subsystems;
-use crate::workers::{Direct, Order, Report};
+use crate::workers::{DirectCommand, Heartbeat, WorkerCommand};
 use serde_json::{Value, json};
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
@@ -45,10 +45,10 @@
 #[derive(Default)]
 pub struct FakeStore {
     pub limits: StoreLimits,
-    pub ledger: u64,
+    pub revision: u64,
     pub keys: BTreeMap<String, (u64, Value, Option<u64>)>,
     pub leases: BTreeMap<u64, (Micros, Micros)>,
-    pub log: Vec<Change>,
+    pub log: Vec<WatchEvent>,
     pub next_lease: u64,
     pub down: bool,
     /// Changes asked for, refused ones included.
@@ -70,7 +70,7 @@
 
     pub fn end_lease(&mut self, id: u64) -> Reply {
         if self.leases.remove(&id).is_none() {
-            return Reply::LeaseGone;
+            return Reply::LeaseExpired;
         }
         let keys: Vec<String> = self
             .keys
@@ -79,79 +79,79 @@
             .map(|(k, _)| k.clone())
             .collect();
         self.commit(keys.into_iter().map(store::delete).collect());
-        Reply::Done
+        Reply::Acknowledged
     }
 
-    pub fn commit(&mut self, ops: Vec<Op>) -> Reply {
-        self.ledger += 1;
-        for op in ops {
+    pub fn commit(&mut self, mutations: Vec<Mutation>) -> Reply {
+        self.revision += 1;
+        for op in mutations {
             match op {
-                Op::Set {
+                Mutation::Set {
                     key,
                     value,
                     lease_id,
                 } => {
-                    self.log.push(Change {
+                    self.log.push(WatchEvent {
                         set: Some(key.clone()),
                         delete: None,
                         value: value.clone(),
-                        revision: Revision(self.ledger),
+                        revision: Revision(self.revision),
                     });
                     self.keys
-                        .insert(key, (self.ledger, value, lease_id.map(|t| t.0)));
+                        .insert(key, (self.revision, value, lease_id.map(|t| t.0)));
                 }
-                Op::Delete { key } => {
+                Mutation::Delete { key } => {
                     if self.keys.remove(&key).is_some() {
-                        self.log.push(Change {
+                        self.log.push(WatchEvent {
                             set: None,
                             delete: Some(key),
                             value: Value::Null,
-                            revision: Revision(self.ledger),
+                            revision: Revision(self.revision),
                         });
                     }
                 }
             }
         }
-        Reply::Committed(Revision(self.ledger))
+        Reply::Committed(Revision(self.revision))
     }
 
     /// A transaction beyond the limits is malformed.
-    pub fn check_limits(&mut self, conds: &[Cond], ops: &[Op]) {
+    pub fn check_limits(&mut self, compares: &[Compare], mutations: &[Mutation]) {
         let most = self.limits.txn_ops;
         assert!(
-            ops.len() <= most && conds.len() <= 4 * most,
+            mutations.len() <= most && compares.len() <= 4 * most,
             "{} {}",
-            ops.len(),
-            conds.len()
+            mutations.len(),
+            compares.len()
         );
         let mut bytes = 0;
-        for op in ops {
-            if let Op::Set { key, value, .. } = op {
+        for op in mutations {
+            if let Mutation::Set { key, value, .. } = op {
                 let long = value.to_string().len();
                 assert!(long <= self.limits.value_bytes, "{key} has {long} bytes");
                 bytes += long;
             }
         }
         assert!(bytes < 60 * 1024, "{bytes} bytes in a transaction");
-        self.changes += ops.len();
+        self.changes += mutations.len();
     }
 
-    pub fn txn(&mut self, conds: &[Cond], ops: Vec<Op>) -> Reply {
-        self.check_limits(conds, &ops);
+    pub fn txn(&mut self, compares: &[Compare], mutations: Vec<Mutation>) -> Reply {
+        self.check_limits(compares, &mutations);
         let revision = |k: &str| self.keys.get(k).map_or(0, |v| v.0);
-        let failed: Vec<String> = conds
+        let failed: Vec<String> = compares
             .iter()
             .filter(|c| revision(&c.key) != c.revision.0)
             .map(|c| c.key.clone())
             .collect();
-        let dead = ops.iter().any(
-            |op| matches!(op, Op::Set { lease_id: Some(t), .. } if !self.leases.contains_key(&t.0)),
+        let dead = mutations.iter().any(
+            |op| matches!(op, Mutation::Set { lease_id: Some(t), .. } if !self.leases.contains_key(&t.0)),
         );
         if dead {
-            return Reply::LeaseGone;
+            return Reply::LeaseExpired;
         }
         if failed.is_empty() {
-            self.commit(ops)
+            self.commit(mutations)
         } else {
             Reply::Conflict(failed)
         }
@@ -159,40 +159,43 @@
 
     pub fn answer(&mut self, now: Micros, request: Request) -> Reply {
         if self.down {
-            return Reply::Refused;
+            return Reply::Rejected;
         }
         self.expire(now);
         match request {
             Request::Get { key } => match self.keys.get(&key) {
-                Some((revision, value, _)) => Reply::Found(Row {
+                Some((revision, value, _)) => Reply::Value(KeyValue {
                     key,
                     value: value.clone(),
                     revision: Revision(*revision),
                 }),
-                None => Reply::Missing,
+                None => Reply::NotFound,
             },
-            Request::Txn { conds, ops } => self.txn(&conds, ops),
-            Request::NewLease { life } => {
+            Request::CompareAndSwap {
+                compares,
+                mutations,
+            } => self.txn(&compares, mutations),
+            Request::GrantLease { ttl: life } => {
                 self.next_lease += 1;
                 self.leases.insert(self.next_lease, (life, now + life));
-                Reply::Leased(LeaseId(self.next_lease))
+                Reply::LeaseGranted(LeaseId(self.next_lease))
             }
-            Request::Renew { lease_id } => match self.leases.get_mut(&lease_id.0) {
+            Request::RenewLease { lease_id } => match self.leases.get_mut(&lease_id.0) {
                 Some((life, end)) => {
                     *end = now + *life;
-                    Reply::Done
+                    Reply::Acknowledged
                 }
-                None => Reply::LeaseGone,
+                None => Reply::LeaseExpired,
             },
-            Request::EndLease { lease_id } => self.end_lease(lease_id.0),
-            Request::List { .. } => Reply::Refused,
+            Request::RevokeLease { lease_id } => self.end_lease(lease_id.0),
+            Request::List { .. } => Reply::Rejected,
         }
     }
 
-    pub fn rows(&self) -> Vec<Row> {
+    pub fn rows(&self) -> Vec<KeyValue> {
         let below = self.keys.iter().filter(|(k, _)| k.starts_with(store::ROOT));
         below
-            .map(|(k, v)| Row {
+            .map(|(k, v)| KeyValue {
                 key: k.clone(),
                 value: v.1.clone(),
                 revision: Revision(v.0),
@@ -204,13 +207,13 @@
 /// A worker with instant images whose tasks run until the script ends them.
 pub struct FakeWorker {
     pub id: MachineId,
-    pub build: &'static str,
+    pub machine_type: &'static str,
     pub zone: &'static str,
-    pub session: u64,
-    pub sequence: u64,
-    pub token: FencingToken,
+    pub agent_epoch: u64,
+    pub heartbeat_sequence: u64,
+    pub fencing_token: FencingToken,
     /// The token that its last report showed.
-    pub shown: FencingToken,
+    pub shown_token: FencingToken,
     pub tasks: BTreeMap<String, (u64, String, Option<String>)>,
     pub node: Option<usize>,
     pub cut: bool,
@@ -220,7 +223,7 @@
     pub unheard: bool,
     /// It stands still: it does nothing, and what is sent to it waits.
     pub hung: bool,
-    waiting: Vec<Direct>,
+    waiting: Vec<DirectCommand>,
     /// Of an attempt that it has begun, and of those that it refused for its room.
     pub launched: Vec<(String, u64)>,
     /// When each running task began.
@@ -231,15 +234,15 @@
 }
 
 impl FakeWorker {
-    pub fn new(n: usize, build: &'static str, zone: &'static str, now: Micros) -> Self {
+    pub fn new(n: usize, machine_type: &'static str, zone: &'static str, now: Micros) -> Self {
         FakeWorker {
             id: MachineId::from(format!("m-{n:06}")),
-            build,
+            machine_type,
             zone,
-            session: 1,
-            sequence: 0,
-            token: FencingToken(0),
-            shown: FencingToken(0),
+            agent_epoch: 1,
+            heartbeat_sequence: 0,
+            fencing_token: FencingToken(0),
+            shown_token: FencingToken(0),
             tasks: BTreeMap::new(),
             node: None,
             cut: false,
@@ -254,29 +257,29 @@
         }
     }
 
-    pub fn report(&mut self) -> Report {
-        self.sequence += 1;
+    pub fn report(&mut self) -> Heartbeat {
+        self.heartbeat_sequence += 1;
         let tasks: Vec<Value> = self
             .tasks
             .iter()
             .map(|(h, (n, standing, cause))| json!({"hand": h, "try": n, "standing": standing, "cause": cause}))
             .collect();
-        serde_json::from_value(json!({"rig": self.id, "addr": format!("{}:1", self.id), "build": self.build, "yard": self.zone,
-            "loaners": false, "shift": self.session, "tally": self.sequence, "baton": self.token, "hands": tasks}))
+        serde_json::from_value(json!({"rig": self.id, "addr": format!("{}:1", self.id), "build": self.machine_type, "yard": self.zone,
+            "loaners": false, "shift": self.agent_epoch, "tally": self.heartbeat_sequence, "baton": self.fencing_token, "hands": tasks}))
         .expect("a report")
     }
 
-    pub fn run(&mut self, orders: &[Order]) {
+    pub fn run(&mut self, orders: &[WorkerCommand]) {
         for o in orders {
             match o {
-                Order::Launch { task, attempt } => {
+                WorkerCommand::Launch { task, attempt } => {
                     let new = (attempt.0, "running".into(), None);
                     if let Entry::Vacant(free) = self.tasks.entry(task.clone()) {
                         free.insert(new);
                         self.launched.push((task.clone(), attempt.0));
                     }
                 }
-                Order::Halt { task, attempt, .. } => {
+                WorkerCommand::Stop { task, attempt, .. } => {
                     if let Some(h) = self
                         .tasks
                         .get_mut(task)
@@ -285,7 +288,7 @@
                         *h = (h.0, "exited".into(), Some("stopped".into()));
                     }
                 }
-                Order::Reap { task, .. } => {
+                WorkerCommand::Reap { task, .. } => {
                     self.tasks.remove(task);
                 }
             }
@@ -299,10 +302,10 @@
             .filter(move |task| task.starts_with(begins))
     }
 
-    pub fn direct(&mut self, d: &Direct) -> Report {
-        if d.token >= self.token && d.session == self.session {
-            self.token = d.token;
-            self.run(&d.orders);
+    pub fn direct(&mut self, d: &DirectCommand) -> Heartbeat {
+        if d.fencing_token >= self.fencing_token && d.agent_epoch == self.agent_epoch {
+            self.fencing_token = d.fencing_token;
+            self.run(&d.commands);
         }
         self.report()
     }
@@ -329,7 +332,7 @@
     pub frozen: bool,
     /// What it has on when it starts next.
     pub subsystems: Subsystems,
-    pub view: Arc<View>,
+    pub view: Arc<ApiView>,
 }
 
 pub struct World {
@@ -352,22 +355,22 @@
     /// Of nodes that start from now on.
     pub idle_return: Micros,
     /// Transactions and direct commands held back by a cut, to be let go later.
-    pub held_txns: Vec<(Vec<Cond>, Vec<Op>)>,
+    pub held_txns: Vec<(Vec<Compare>, Vec<Mutation>)>,
     pub hold_job_txns: bool,
-    pub held_directs: Vec<(usize, Direct)>,
+    pub held_directs: Vec<(usize, DirectCommand)>,
     pub hold_directs: bool,
     /// Reports are copied, and those that a cut stops are kept, to come late.
     pub copying: bool,
-    pub copies: Vec<Report>,
+    pub copies: Vec<Heartbeat>,
     /// Jobs submitted with a mistake: each task fails a second after its start.
     pub mistaken: BTreeSet<JobId>,
     /// Those that were carried out: a copy of any may come again.
-    pub done_directs: Vec<(usize, Direct)>,
+    pub done_directs: Vec<(usize, DirectCommand)>,
     /// How long tasks run; none: until the script ends them.
     pub task_time: Option<Micros>,
     pub submitted: BTreeMap<JobId, JobDesc>,
     /// What users were told of jobs: by which node, on which question.
-    pub found: Vec<(usize, u64, Found)>,
+    pub found: Vec<(usize, u64, JobLookup)>,
     pub types: Vec<MachineType>,
     /// The cloud refuses to rent anything there.
     pub no_capacity: BTreeSet<&'static str>,
@@ -476,16 +479,23 @@
                     recorder.record(now, i, &effect);
                 }
                 match effect {
-                    Effect::Store { tag, request, .. } => {
+                    Effect::StoreRequest {
+                        operation: tag,
+                        request,
+                        ..
+                    } => {
                         let reply = self.ask(i, &tag, request);
-                        inputs.push(Input::Stored { tag, reply });
+                        inputs.push(Input::StoreReply {
+                            operation: tag,
+                            reply,
+                        });
                     }
-                    Effect::Answer { answer, .. } => told = Some(answer),
-                    Effect::Do {
-                        block,
+                    Effect::AnswerHeartbeat { answer, .. } => told = Some(answer),
+                    Effect::SendDirectCommand {
+                        partition: block,
                         term,
                         machine,
-                        direct,
+                        command: direct,
                         ..
                     } => {
                         let answer = if self.nodes[i].no_workers {
@@ -493,8 +503,8 @@
                         } else {
                             self.direct(&machine, direct)
                         };
-                        inputs.push(Input::DirectAnswer {
-                            block,
+                        inputs.push(Input::DirectCommandReply {
+                            partition: block,
                             term,
                             machine,
                             answer,
@@ -502,7 +512,7 @@
                     }
                     Effect::Cloud(request) => {
                         let reply = self.cloud(&request);
-                        inputs.push(Input::Cloud { request, reply });
+                        inputs.push(Input::CloudReply { request, reply });
                     }
                     Effect::Mesh(message) => {
                         for j in (0..self.nodes.len()).filter(|j| *j != i) {
@@ -515,8 +525,11 @@
                             }
                         }
                     }
-                    Effect::Found { ticket, found } => self.found.push((i, ticket, found)),
-                    Effect::View(view) => self.nodes[i].view = view,
+                    Effect::AnswerJobLookup {
+                        request_id,
+                        lookup: found,
+                    } => self.found.push((i, request_id, found)),
+                    Effect::PublishView(view) => self.nodes[i].view = view,
                 }
             }
         }
@@ -526,37 +539,46 @@
     pub fn ask(&mut self, i: usize, tag: &StoreOperation, request: Request) -> Reply {
         let n = &self.nodes[i];
         if n.no_store {
-            return Reply::Unknown;
+            return Reply::Indeterminate;
         }
         if n.refused {
-            return Reply::Refused;
+            return Reply::Rejected;
         }
         if n.late
-            && let Request::Txn { conds, ops } = &request
+            && let Request::CompareAndSwap {
+                compares,
+                mutations,
+            } = &request
         {
-            self.held_txns.push((conds.clone(), ops.clone()));
-            return Reply::Unknown;
+            self.held_txns.push((compares.clone(), mutations.clone()));
+            return Reply::Indeterminate;
         }
-        if n.unanswered && matches!(request, Request::Txn { .. }) {
+        if n.unanswered && matches!(request, Request::CompareAndSwap { .. }) {
             self.store.answer(self.now, request);
-            return Reply::Unknown;
+            return Reply::Indeterminate;
         }
         if self.hold_job_txns
-            && let (StoreOperation::Holder(..), Request::Txn { conds, ops }) = (tag, &request)
+            && let (
+                StoreOperation::OwnedPartition(..),
+                Request::CompareAndSwap {
+                    compares,
+                    mutations,
+                },
+            ) = (tag, &request)
         {
-            self.held_txns.push((conds.clone(), ops.clone()));
-            return Reply::Unknown;
+            self.held_txns.push((compares.clone(), mutations.clone()));
+            return Reply::Indeterminate;
         }
         self.store.answer(self.now, request)
     }
 
-    pub fn direct(&mut self, machine: &MachineId, d: Direct) -> DirectAnswer {
+    pub fn direct(&mut self, machine: &MachineId, d: DirectCommand) -> DirectAnswer {
         let Some(at) = self.workers.iter().position(|w| w.id == *machine) else {
             return DirectAnswer::NotSent;
         };
         if self.hold_directs {
             self.held_directs.push((at, d));
-            return DirectAnswer::Lost;
+            return DirectAnswer::Indeterminate;
         }
         let w = &self.workers[at];
         if w.cut || w.unreachable || self.returned.contains(machine) {
@@ -564,35 +586,35 @@
         }
         if w.hung {
             self.workers[at].waiting.push(d);
-            return DirectAnswer::Lost;
+            return DirectAnswer::Indeterminate;
         }
         self.done_directs.push((at, d.clone()));
-        DirectAnswer::Report(self.workers[at].direct(&d))
+        DirectAnswer::Heartbeat(self.workers[at].direct(&d))
     }
 
     pub fn cloud(&mut self, request: &CloudRequest) -> CloudReply {
-        if self.cloud_down && *request != CloudRequest::Types {
-            return CloudReply::Unknown;
+        if self.cloud_down && *request != CloudRequest::MachineTypes {
+            return CloudReply::Indeterminate;
         }
         match request {
-            CloudRequest::Types => CloudReply::Types(self.types.clone()),
-            CloudRequest::List => {
+            CloudRequest::MachineTypes => CloudReply::MachineTypes(self.types.clone()),
+            CloudRequest::Machines => {
                 let there = self
                     .workers
                     .iter()
                     .filter(|w| !self.returned.contains(&w.id));
-                CloudReply::List(
+                CloudReply::Machines(
                     there
-                        .map(|w| Listed {
+                        .map(|w| CloudMachine {
                             id: w.id.clone(),
                             addr: Some(format!("{}:1", w.id)),
-                            build: w.build.into(),
+                            machine_type: w.machine_type.into(),
                             zone: w.zone.into(),
                             spot: false,
-                            standing: if self.booting.contains_key(&w.id) {
-                                CloudStanding::Booting
+                            state: if self.booting.contains_key(&w.id) {
+                                InstanceState::Booting
                             } else {
-                                CloudStanding::Running
+                                InstanceState::Running
                             },
                             age_s: self
                                 .booting
@@ -602,13 +624,15 @@
                         .collect(),
                 )
             }
-            CloudRequest::Rent(..) if !self.renting => CloudReply::NoCapacity,
-            CloudRequest::Rent(_, rental) if self.no_capacity.contains(rental.zone.as_str()) => {
+            CloudRequest::ScaleOut(..) if !self.renting => CloudReply::NoCapacity,
+            CloudRequest::ScaleOut(_, rental)
+                if self.no_capacity.contains(rental.zone.as_str()) =>
+            {
                 CloudReply::NoCapacity
             }
-            CloudRequest::Rent(name, rental) => {
+            CloudRequest::ScaleOut(name, rental) => {
                 let now = self.now;
-                let build = if rental.build == "big" {
+                let machine_type = if rental.machine_type == "big" {
                     "big"
                 } else {
                     "small"
@@ -624,7 +648,7 @@
                 let ids = self.rented.entry(name.clone()).or_insert_with(|| {
                     rentals.push((zone.to_owned(), rental.count));
                     let new = |n| {
-                        let mut w = FakeWorker::new(n, build, zone, now + secs(3.0));
+                        let mut w = FakeWorker::new(n, machine_type, zone, now + secs(3.0));
                         w.last_answer = now + secs(3.0);
                         w.cut = is_cut;
                         w
@@ -636,12 +660,12 @@
                 });
                 CloudReply::Rented(ids.clone())
             }
-            CloudRequest::Return(ids) => {
+            CloudRequest::Release(ids) => {
                 self.returned.extend(ids.iter().cloned());
                 for w in self.workers.iter_mut().filter(|w| ids.contains(&w.id)) {
                     w.tasks.clear();
                 }
-                CloudReply::Returned
+                CloudReply::Released
             }
         }
     }
@@ -682,7 +706,7 @@
             return;
         }
         if now.since(w.last_answer) > over {
-            w.session += 1;
+            w.agent_epoch += 1;
             w.tasks.clear();
             w.last_answer = now;
         }
@@ -728,26 +752,26 @@
                     continue;
                 };
                 assert!(
-                    d.allows(w.build, w.zone, false),
+                    d.allows(w.machine_type, w.zone, false),
                     "{task} on {} in {}",
-                    w.build,
+                    w.machine_type,
                     w.zone
                 );
                 for before in &d.dependencies {
                     let end = self.ended(before.as_str());
-                    assert_eq!(end, Some(Standing::Done), "{task} starts before {before}");
+                    assert_eq!(end, Some(JobState::Done), "{task} starts before {before}");
                 }
                 let begins = format!("{}/", task.job);
                 let in_zone = |zone: &str| -> usize {
                     let there = self.alive().filter(|o| o.zone == zone);
                     there.map(|o| o.running(&begins).count()).sum()
                 };
-                if d.one_zone {
+                if d.single_zone {
                     let others = ["x", "y", "z"].into_iter().filter(|z| *z != w.zone);
                     let elsewhere: usize = others.map(in_zone).sum();
                     assert_eq!(elsewhere, 0, "{task} in {}: not in one zone", w.zone);
                 }
-                if d.apart {
+                if d.anti_affinity {
                     let most = d.tasks.div_ceil(2) as usize;
                     assert!(in_zone(w.zone) <= most, "{task} in {}: not apart", w.zone);
                 }
@@ -801,7 +825,10 @@
 
     /// All machines that have not reported yet never will: they do not come up.
     pub fn keep_booting(&mut self) {
-        let new = self.workers.iter_mut().filter(|w| w.sequence == 0);
+        let new = self
+            .workers
+            .iter_mut()
+            .filter(|w| w.heartbeat_sequence == 0);
         for w in new {
             w.hung = true;
             self.booting.insert(w.id.clone(), self.now);
@@ -812,21 +839,27 @@
     pub fn reborn(&mut self, at: usize) {
         let now = self.now;
         let w = &mut self.workers[at];
-        (w.session, w.sequence, w.token) = (1, 0, FencingToken(0));
+        (w.agent_epoch, w.heartbeat_sequence, w.fencing_token) = (1, 0, FencingToken(0));
         (w.last_answer, w.due) = (now, now);
         w.tasks.clear();
     }
 
     /// A copy of a report reaches a node late: nobody reads the answer.
-    pub fn late_copy(&mut self, node: usize, report: &Report) -> Option<Answer> {
+    pub fn late_copy(&mut self, node: usize, report: &Heartbeat) -> Option<Answer> {
         let report = report.clone();
-        self.feed(node, Input::CheckIn { report, ticket: 9 })
+        self.feed(
+            node,
+            Input::Heartbeat {
+                heartbeat: report,
+                request_id: 9,
+            },
+        )
     }
 
     /// Asks a node how a job stands; `pass` a little to have the answer in `found`.
-    pub fn ask_for(&mut self, node: usize, id: &str, ticket: u64) {
+    pub fn ask_for(&mut self, node: usize, id: &str, request_id: u64) {
         let id = id.into();
-        self.feed(node, Input::Ask { id, ticket });
+        self.feed(node, Input::JobLookup { id, request_id });
     }
 
     pub fn cancel_s(&self) -> f64 {
@@ -850,27 +883,31 @@
 
     pub fn started_ever(&self, id: &str) -> bool {
         let begins = |h: &String| h.starts_with(&format!("{id}/"));
-        self.ended(id) == Some(Standing::Done)
+        self.ended(id) == Some(JobState::Done)
             || self.workers.iter().any(|w| w.tasks.keys().any(begins))
     }
 
     pub fn sync(&mut self, i: usize) {
         let sent = self.now;
-        let ledger = self.store.ledger;
+        let revision = self.store.revision;
         let input = if self.nodes[i].loaded {
             let since = self.nodes[i].since;
             let new = self.store.log.partition_point(|c| c.revision.0 <= since);
-            let log: Vec<Change> = self.store.log[new..].to_vec();
-            Input::Changes { log, ledger, sent }
+            let log: Vec<WatchEvent> = self.store.log[new..].to_vec();
+            Input::Changes {
+                events: log,
+                revision,
+                requested_at: sent,
+            }
         } else {
             self.nodes[i].loaded = true;
             Input::Loaded {
-                rows: self.store.rows(),
-                ledger,
-                sent,
+                entries: self.store.rows(),
+                revision,
+                requested_at: sent,
             }
         };
-        self.nodes[i].since = ledger;
+        self.nodes[i].since = revision;
         self.feed(i, input);
     }
 
@@ -906,7 +943,13 @@
             self.workers[at].node = Some(next);
             self.workers[at].due = self.now + secs(if self.nodes.len() > 1 { 5.0 } else { 2.0 });
             let report = self.workers[at].report();
-            self.feed(next, Input::CheckIn { report, ticket: 1 });
+            self.feed(
+                next,
+                Input::Heartbeat {
+                    heartbeat: report,
+                    request_id: 1,
+                },
+            );
             return;
         }
         for i in order {
@@ -914,18 +957,24 @@
             if self.copying {
                 self.copies.push(report.clone());
             }
-            match self.feed(i, Input::CheckIn { report, ticket: 1 }) {
-                Some(Answer::Orders(o)) => {
+            match self.feed(
+                i,
+                Input::Heartbeat {
+                    heartbeat: report,
+                    request_id: 1,
+                },
+            ) {
+                Some(Answer::Accepted(o)) => {
                     let w = &mut self.workers[at];
-                    if o.token > w.token || !o.orders.is_empty() {
+                    if o.fencing_token > w.fencing_token || !o.commands.is_empty() {
                         // A change is reported soon.
                         w.due = self.now + secs(0.5);
                     }
-                    if o.token >= w.token {
-                        w.token = o.token;
+                    if o.fencing_token >= w.fencing_token {
+                        w.fencing_token = o.fencing_token;
                         w.last_answer = self.now;
                         w.node = Some(i);
-                        w.run(&o.orders);
+                        w.run(&o.commands);
                     }
                     return;
                 }
@@ -941,7 +990,7 @@
     /// To the block that its team is in.
     pub fn submit_to(&mut self, desc: &JobDesc, block: u64) {
         self.submitted.insert(desc.id.clone(), desc.clone());
-        let key = keys::holder(BlockId(block));
+        let key = keys::partition_owner(PartitionId(block));
         let holder = self
             .store
             .keys
@@ -950,31 +999,31 @@
         let born = serde_json::from_value(holder.1["term"].clone()).unwrap_or_default();
         let rec = JobRecord {
             desc: desc.clone(),
-            at: self.now,
-            born,
+            accepted_at: self.now,
+            accepted_term: born,
         };
-        let conds = [
-            cond(keys::job(&desc.id), Revision(0)),
-            cond(key, Revision(holder.0)),
+        let compares = [
+            compare(keys::job(&desc.id), Revision(0)),
+            compare(key, Revision(holder.0)),
         ];
         let reply = self
             .store
-            .txn(&conds, vec![store::set(keys::job(&desc.id), &rec)]);
+            .txn(&compares, vec![store::put(keys::job(&desc.id), &rec)]);
         assert!(matches!(reply, Reply::Committed(_)), "{reply:?}");
     }
 
     pub fn cancel(&mut self, id: &str) {
         let id = JobId::from(id);
         let ended = EndedRecord {
-            standing: Standing::Cancelled,
+            state: JobState::Cancelled,
             tasks: 1,
             footprint: self.submitted.get(&id).map(JobDesc::footprint),
-            at: Some(self.now),
+            ended_at: Some(self.now),
         };
         self.cancelled.insert(id.clone(), self.now);
         self.store.commit(vec![
             store::delete(keys::job(&id)),
-            store::set(keys::ended(&id), &ended),
+            store::put(keys::ended(&id), &ended),
         ]);
     }
 
@@ -988,11 +1037,11 @@
                 .any(|before| self.is_cancelled(before))
     }
 
-    pub fn ended(&self, id: &str) -> Option<Standing> {
+    pub fn ended(&self, id: &str) -> Option<JobState> {
         let rec = self.store.keys.get(&keys::ended(&JobId::from(id)))?;
         serde_json::from_value::<EndedRecord>(rec.1.clone())
             .ok()
-            .map(|e| e.standing)
+            .map(|e| e.state)
     }
 
     /// Where a task's attempts run now.
--- a/src/controller/tests/zones.rs
+++ b/src/controller/tests/zones.rs
@@ -4,7 +4,7 @@
 use super::world::{FakeWorker, World, secs};
 use crate::ids::MachineId;
 use crate::jobs::tests::{desc, types};
-use crate::jobs::{Rank, Standing};
+use crate::jobs::{JobState, Priority};
 use crate::store::keys;
 use crate::subsystems::Subsystems;
 use proptest::prelude::*;
@@ -136,7 +136,7 @@
 fn finish(w: &mut World, ids: &[&str]) {
     w.task_time = Some(secs(2.0));
     for _ in 0..60 {
-        if ids.iter().all(|id| w.ended(id) == Some(Standing::Done)) {
+        if ids.iter().all(|id| w.ended(id) == Some(JobState::Done)) {
             return;
         }
         w.pass(5.0);
@@ -298,7 +298,7 @@
     fill(&mut w, ["y", "z"], 16);
     for (id, due) in ids.iter().zip(due) {
         let mut d = desc(id, 4);
-        (d.due_s, d.rank) = (Some(due), Rank::Standard);
+        (d.deadline_s, d.priority) = (Some(due), Priority::Standard);
         w.submit(&d);
     }
     w.pass(3.0);
@@ -373,7 +373,7 @@
     fill(&mut w, ["y", "z"], 8);
     for (id, tasks, due) in [("j-1", 3, 60.0), ("j-2", 5, 6_000.0)] {
         let mut d = desc(id, tasks);
-        d.due_s = Some(due);
+        d.deadline_s = Some(due);
         w.submit(&d);
     }
     w.pass(3.0);
@@ -435,15 +435,15 @@
     let mut w = zones(4, &file);
     w.no_capacity.extend(["x", "y", "z"]);
     let mut low = desc("j-1", 24);
-    (low.rank, low.due_s, low.checkpoint_s) = (Rank::Idle, None, 5.0);
-    low.estimate_s = 1_000.0;
+    (low.priority, low.deadline_s, low.checkpoint_interval_s) = (Priority::Idle, None, 5.0);
+    low.estimated_run_time_s = 1_000.0;
     w.submit(&low);
     w.pass(6.0);
     assert_eq!(w.all_running(), 24, "the fleet is full");
     cut(&mut w, "x", true);
     pass_until(&mut w, 20.0, |w| state(w, "x") == "lost");
     let mut urgent = desc("j-2", 8);
-    (urgent.rank, urgent.due_s) = (Rank::Production, Some(15.0));
+    (urgent.priority, urgent.deadline_s) = (Priority::Production, Some(15.0));
     w.submit(&urgent);
     w.pass(10.0);
     assert_eq!(running_in(&w, "y", "j-2/") + running_in(&w, "z", "j-2/"), 8);
@@ -549,10 +549,10 @@
     let mut w = zones(5, ON);
     w.renting = true;
     let mut together = desc("j-1", 6);
-    together.one_zone = true;
-    let mut apart = desc("j-2", 6);
-    apart.apart = true;
-    for d in [&together, &apart, &desc("j-3", 8)] {
+    together.single_zone = true;
+    let mut anti_affinity = desc("j-2", 6);
+    anti_affinity.anti_affinity = true;
+    for d in [&together, &anti_affinity, &desc("j-3", 8)] {
         w.submit(d);
     }
     w.pass(6.0);
@@ -619,7 +619,7 @@
     ] {
         let mut w = zones(4, ON);
         w.renting = true;
-        let set = crate::store::set(keys::ZONES.into(), &value);
+        let set = crate::store::put(keys::ZONES.into(), &value);
         w.store.commit(vec![set]);
         w.submit(&desc("j-1", 20));
         w.pass(6.0);
@@ -695,12 +695,16 @@
     let mut w = zones_with(4, &file, |w| {
         w.types[1].price *= 2.0;
         for worker in w.workers.iter_mut().filter(|m| m.zone != "x") {
-            worker.build = "big";
+            worker.machine_type = "big";
         }
     });
     w.cloud_down = true;
     let mut saving = desc("j-1", 70);
-    (saving.checkpoint_s, saving.estimate_s, saving.due_s) = (5.0, 100_000.0, None);
+    (
+        saving.checkpoint_interval_s,
+        saving.estimated_run_time_s,
+        saving.deadline_s,
+    ) = (5.0, 100_000.0, None);
     w.submit(&saving);
     w.pass(6.0);
     assert_eq!(running_in(&w, "x", "j-1/"), 8);
@@ -759,7 +763,7 @@
 }
 
 #[derive(Debug, Clone)]
-enum Event {
+enum AttemptEvent {
     Cut(usize),
     Restore(usize),
     Crash(usize),
@@ -772,49 +776,49 @@
     LateWrites(usize),
 }
 
-fn event() -> impl Strategy<Value = Event> {
+fn event() -> impl Strategy<Value = AttemptEvent> {
     let zone = 0..3_usize;
     let node = 0..3_usize;
     prop_oneof![
-        3 => zone.clone().prop_map(Event::Cut),
-        2 => zone.prop_map(Event::Restore),
-        1 => node.clone().prop_map(Event::Crash),
-        2 => node.clone().prop_map(Event::Start),
-        1 => (1..20_u8).prop_map(|s| Event::Outage(f64::from(s))),
-        4 => (1..30_u8).prop_map(|s| Event::Pass(f64::from(s))),
-        1 => node.clone().prop_map(Event::LateReports),
-        1 => node.prop_map(Event::LateWrites),
+        3 => zone.clone().prop_map(AttemptEvent::Cut),
+        2 => zone.prop_map(AttemptEvent::Restore),
+        1 => node.clone().prop_map(AttemptEvent::Crash),
+        2 => node.clone().prop_map(AttemptEvent::Start),
+        1 => (1..20_u8).prop_map(|s| AttemptEvent::Outage(f64::from(s))),
+        4 => (1..30_u8).prop_map(|s| AttemptEvent::Pass(f64::from(s))),
+        1 => node.clone().prop_map(AttemptEvent::LateReports),
+        1 => node.prop_map(AttemptEvent::LateWrites),
     ]
 }
 
-impl Event {
+impl AttemptEvent {
     fn happen(&self, w: &mut World) {
         const ZONES: [&str; 3] = ["x", "y", "z"];
         match *self {
-            Event::Cut(zone) => cut(w, ZONES[zone], true),
-            Event::Restore(zone) => cut(w, ZONES[zone], false),
-            Event::Crash(node) => w.crash(node),
-            Event::Start(node) if w.nodes[node].core.is_none() => w.start(node),
-            Event::Start(_) => {}
-            Event::Outage(seconds) => {
+            AttemptEvent::Cut(zone) => cut(w, ZONES[zone], true),
+            AttemptEvent::Restore(zone) => cut(w, ZONES[zone], false),
+            AttemptEvent::Crash(node) => w.crash(node),
+            AttemptEvent::Start(node) if w.nodes[node].core.is_none() => w.start(node),
+            AttemptEvent::Start(_) => {}
+            AttemptEvent::Outage(seconds) => {
                 w.store.down = true;
                 w.pass(seconds);
                 w.store.down = false;
             }
-            Event::Pass(seconds) => w.pass(seconds),
-            Event::LateReports(node) => {
+            AttemptEvent::Pass(seconds) => w.pass(seconds),
+            AttemptEvent::LateReports(node) => {
                 let copies: Vec<_> = w.copies.iter().step_by(7).take(30).cloned().collect();
                 for copy in &copies {
                     // To a node that is down it does not come.
                     w.late_copy(node, copy);
                 }
             }
-            Event::LateWrites(node) => {
+            AttemptEvent::LateWrites(node) => {
                 w.nodes[node].late = true;
                 w.pass(4.0);
                 w.nodes[node].late = false;
-                for (conds, ops) in std::mem::take(&mut w.held_txns) {
-                    w.store.txn(&conds, ops);
+                for (compares, mutations) in std::mem::take(&mut w.held_txns) {
+                    w.store.txn(&compares, mutations);
                 }
             }
         }
@@ -856,7 +860,7 @@
             cut(&mut w, zone, false);
         }
         for node in 0..3 {
-            Event::Start(node).happen(&mut w);
+            AttemptEvent::Start(node).happen(&mut w);
         }
         finish(&mut w, &ids);
         for id in ids {
--- a/src/fairness/mod.rs
+++ b/src/fairness/mod.rs
@@ -11,9 +11,11 @@
     /// Processor cores.
     pub cores: f64,
     /// Accelerators.
-    pub cards: f64,
+    #[serde(rename = "cards")]
+    pub gpus: f64,
     /// Memory, in GB.
-    pub mem: f64,
+    #[serde(rename = "mem")]
+    pub memory_gb: f64,
 }
 
 /// Sums of decimal amounts may be off by this much.
@@ -22,27 +24,31 @@
 impl Resources {
     /// These amounts.
     pub fn new(cores: f64, cards: f64, mem: f64) -> Self {
-        Resources { cores, cards, mem }
+        Resources {
+            cores,
+            gpus: cards,
+            memory_gb: mem,
+        }
     }
 
     fn zip(self, o: Resources, f: impl Fn(f64, f64) -> f64) -> Resources {
         Resources::new(
             f(self.cores, o.cores),
-            f(self.cards, o.cards),
-            f(self.mem, o.mem),
+            f(self.gpus, o.gpus),
+            f(self.memory_gb, o.memory_gb),
         )
     }
 
     /// So many times as much of each.
     pub fn scale(self, by: f64) -> Resources {
-        Resources::new(self.cores * by, self.cards * by, self.mem * by)
+        Resources::new(self.cores * by, self.gpus * by, self.memory_gb * by)
     }
 
     /// Whether there is enough of each.
     pub fn fits_in(&self, room: &Resources) -> bool {
         self.cores <= room.cores + EPS
-            && self.cards <= room.cards + EPS
-            && self.mem <= room.mem + EPS
+            && self.gpus <= room.gpus + EPS
+            && self.memory_gb <= room.memory_gb + EPS
     }
 
     /// How many of these fit side by side.
@@ -55,8 +61,8 @@
             }
         };
         let least = n(self.cores, room.cores)
-            .min(n(self.cards, room.cards))
-            .min(n(self.mem, room.mem));
+            .min(n(self.gpus, room.gpus))
+            .min(n(self.memory_gb, room.memory_gb));
         least.clamp(0.0, 1e6) as u32
     }
 
@@ -68,7 +74,7 @@
     /// The largest share of `whole` that any resource takes.
     pub fn share_of(&self, whole: &Resources) -> f64 {
         let q = self.zip(*whole, |a, b| if b > 0.0 { a / b } else { 0.0 });
-        q.cores.max(q.cards).max(q.mem)
+        q.cores.max(q.gpus).max(q.memory_gb)
     }
 }
 
@@ -100,9 +106,9 @@
 
 /// Static heaviness `s`: the endowment's share of the fleet, summed over the
 /// resources that the fleet has. It rises strictly with each of them.
-pub fn s(endowed: Resources, fleet: Resources) -> f64 {
+pub fn static_heaviness(endowed: Resources, fleet: Resources) -> f64 {
     let share = endowed.zip(fleet, |e, f| if f > 0.0 { e / f } else { 0.0 });
-    share.cores + share.cards + share.mem
+    share.cores + share.gpus + share.memory_gb
 }
 
 /// Equation 3 with guarantees for quotas: the fleet's share that is
@@ -120,7 +126,7 @@
     summed: Resources,
     fleet: Resources,
 ) -> f64 {
-    s(endowment(requests, capacity, summed), fleet)
+    static_heaviness(endowment(requests, capacity, summed), fleet)
 }
 
 /// What a machine's attempts request, in all and by team.
@@ -148,7 +154,7 @@
 
 /// One team's sums.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct TeamSum {
+pub struct TeamUsage {
     /// What counts against its limit.
     pub used: Resources,
     /// What its running tasks are endowed with.
@@ -158,15 +164,15 @@
 /// The sums of a block's teams, kept up to date machine by machine, so that no
 /// decision walks over the fleet to weigh a team.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Weights {
-    teams: BTreeMap<usize, TeamSum>,
+pub struct UsageByTeam {
+    teams: BTreeMap<usize, TeamUsage>,
 }
 
-impl Weights {
+impl UsageByTeam {
     /// Of these teams, with nothing used.
     pub fn new(teams: &[usize]) -> Self {
-        Weights {
-            teams: teams.iter().map(|t| (*t, TeamSum::default())).collect(),
+        UsageByTeam {
+            teams: teams.iter().map(|t| (*t, TeamUsage::default())).collect(),
         }
     }
 
@@ -200,7 +206,7 @@
     }
 
     /// One team's sums.
-    pub fn of(&self, team: usize) -> TeamSum {
+    pub fn of(&self, team: usize) -> TeamUsage {
         self.teams.get(&team).copied().unwrap_or_default()
     }
 
@@ -212,7 +218,8 @@
         guarantees: Resources,
         fleet: Resources,
     ) -> f64 {
-        s(self.of(team).endowed, fleet) - s(actual_quota(guarantee, fleet, guarantees), fleet)
+        static_heaviness(self.of(team).endowed, fleet)
+            - static_heaviness(actual_quota(guarantee, fleet, guarantees), fleet)
     }
 }
 
--- a/src/fairness/tests.rs
+++ b/src/fairness/tests.rs
@@ -5,18 +5,18 @@
     let cap = Resources::new(16.0, 0.0, 64.0);
     let fleet = Resources::new(32.0, 0.0, 128.0);
     let mut load = Load::default();
-    let mut kept = Weights::new(&[0, 1]);
+    let mut kept = UsageByTeam::new(&[0, 1]);
     kept.add(&load, cap);
     for (team, cores) in [(0, 2.0), (1, 6.0), (0, 4.0)] {
         kept.remove(&load, cap);
         load.take(team, Resources::new(cores, 0.0, 4.0 * cores));
         kept.add(&load, cap);
     }
-    let mut anew = Weights::new(&[0, 1]);
+    let mut anew = UsageByTeam::new(&[0, 1]);
     anew.add(&load, cap);
     for t in [0, 1] {
         near(kept.of(t).endowed.cores, anew.of(t).endowed.cores);
-        near(kept.of(t).used.mem, anew.of(t).used.mem);
+        near(kept.of(t).used.memory_gb, anew.of(t).used.memory_gb);
     }
     // 6 of 12 cores requested: half of the machine, and the quota is half of the fleet.
     let (g, all) = (
@@ -59,9 +59,15 @@
 #[test]
 fn s_sums_the_shares_of_what_the_fleet_has() {
     let fleet = Resources::new(100.0, 0.0, 400.0);
-    near(s(Resources::new(4.0, 0.0, 16.0), fleet), 0.04 + 0.04);
+    near(
+        static_heaviness(Resources::new(4.0, 0.0, 16.0), fleet),
+        0.04 + 0.04,
+    );
     // A resource that the fleet lacks counts nothing.
-    near(s(Resources::new(4.0, 3.0, 16.0), fleet), 0.08);
+    near(
+        static_heaviness(Resources::new(4.0, 3.0, 16.0), fleet),
+        0.08,
+    );
 }
 
 #[test]
@@ -81,7 +87,7 @@
         Resources::new(2.0, 0.0, 8.0),
         fleet,
     );
-    near(heavy - s(aq, fleet), 0.1 + 0.1 - 0.1);
+    near(heavy - static_heaviness(aq, fleet), 0.1 + 0.1 - 0.1);
 }
 
 #[test]
--- a/src/fleet/manager.rs
+++ b/src/fleet/autoscaler.rs
@@ -2,22 +2,22 @@
 //! which block each machine goes to.
 
 mod recording;
-mod renting;
-mod returning;
+mod release;
+mod scale_out;
 
-use super::{CloudReply, CloudRequest, CloudStanding, Listed, MachineType};
-use crate::blocks::{Freed, RentalRecord};
+use super::{CloudMachine, CloudReply, CloudRequest, InstanceState, MachineType};
 use crate::clock::Micros;
 use crate::fairness::Resources;
-use crate::ids::{BlockId, MachineId, Revision};
-use crate::mesh::BlockState;
+use crate::ids::{MachineId, PartitionId, Revision};
+use crate::mesh::PartitionState;
+use crate::partitions::{ReleaseReason, ScaleOutRecord};
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::store::mirror::Mirror;
-use crate::store::{Cond, Op, Reply};
+use crate::store::{Compare, Mutation, Reply};
+use crate::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use zone_failover::leader::RentalAccess;
+use zone_failover::leader::ScaleOutAccess;
 
 /// A leader's write, as it comes back with its answer.
 #[derive(Debug, Clone, PartialEq)]
@@ -32,11 +32,11 @@
     /// A shard is recorded in parts.
     Split,
     /// A rental that is about to be asked for.
-    RentalState {
+    ScaleOut {
         /// The rental's name.
         name: String,
         /// What is to be rented.
-        rental: RentalRecord,
+        rental: ScaleOutRecord,
     },
     /// A rental that came to nothing.
     Drop {
@@ -49,15 +49,15 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Write to the store.
-    Txn(Write, Vec<Cond>, Vec<Op>),
+    CompareAndSwap(Write, Vec<Compare>, Vec<Mutation>),
     /// Ask the cloud.
     Cloud(CloudRequest),
 }
 
 /// A type, zone and kind that the cloud may or may not have more of.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct Offer {
-    build: String,
+struct InstanceOffer {
+    machine_type: String,
     zone: String,
     spot: bool,
 }
@@ -69,7 +69,7 @@
 }
 
 #[derive(Debug)]
-enum RentalState {
+enum ScaleOutState {
     /// The record's write is out.
     Recording,
     /// Recorded: the cloud is to be asked, now or again.
@@ -80,8 +80,8 @@
 }
 
 #[derive(Debug)]
-struct Credit {
-    block: BlockId,
+struct PendingCapacity {
+    block: PartitionId,
     until: Micros,
     capacity: Resources,
     count: u32,
@@ -91,22 +91,22 @@
 #[derive(Clone, Copy)]
 pub struct FleetSnapshot<'a> {
     /// What was read of the store.
-    pub mirror: &'a Mirror,
+    pub cache: &'a WatchCache,
     /// That this controller still leads.
-    pub leader: &'a Cond,
+    pub leader: &'a Compare,
     /// The store's revision that the mirror has reached.
     pub seen: Revision,
     /// The machine types.
     pub types: &'a [MachineType],
     /// What the blocks' holders tell.
-    pub news: &'a BTreeMap<BlockId, BlockState>,
+    pub news: &'a BTreeMap<PartitionId, PartitionState>,
     /// Whether machines may be rented in a zone.
-    pub access: &'a dyn Fn(&str) -> RentalAccess,
+    pub access: &'a dyn Fn(&str) -> ScaleOutAccess,
 }
 
 /// What only lives while this controller leads.
 #[derive(Default)]
-pub struct Manager {
+pub struct Autoscaler {
     txn_ops: usize,
     value_bytes: usize,
     horizon: Micros,
@@ -115,11 +115,11 @@
     /// The leadership that this state belongs to, by the leader key's revision.
     leader_revision: Revision,
     counter: u64,
-    list: BTreeMap<MachineId, Listed>,
+    list: BTreeMap<MachineId, CloudMachine>,
     listing: bool,
     listed_at: Micros,
-    rentals: BTreeMap<String, (RentalRecord, RentalState)>,
-    backoff: BTreeMap<Offer, Backoff>,
+    rentals: BTreeMap<String, (ScaleOutRecord, ScaleOutState)>,
+    backoff: BTreeMap<InstanceOffer, Backoff>,
     /// Being returned: when to ask (again), or that the cloud has confirmed it.
     returning: BTreeMap<MachineId, Option<Micros>>,
     /// Of them, those that are silent, as their holder says.
@@ -141,7 +141,7 @@
     /// Requests that lacked room lately.
     shapes: Vec<(Resources, Micros)>,
     /// Room that reports don't show yet, by the rental that brings it.
-    credits: BTreeMap<String, Credit>,
+    credits: BTreeMap<String, PendingCapacity>,
 }
 
 const LIST_EVERY: Micros = Micros::from_millis(3_000);
@@ -149,21 +149,21 @@
 const STEP_EVERY: Micros = Micros::from_millis(150);
 const SCAN_EVERY: Micros = Micros::from_millis(800);
 
-impl Manager {
+impl Autoscaler {
     /// A manager that does not lead yet.
     pub fn new(settings: &Settings, policy: &Policy) -> Self {
-        Manager {
-            txn_ops: settings.most_changes(),
-            value_bytes: settings.platform.state.lasting_value_bytes(),
+        Autoscaler {
+            txn_ops: settings.max_mutations(),
+            value_bytes: settings.platform.state.lowest_value_bytes(),
             horizon: policy.rent_horizon,
-            ..Manager::default()
+            ..Autoscaler::default()
         }
     }
 
     /// One look at everything. Called often; does little when nothing is due.
     pub fn step(&mut self, now: Micros, fleet: &FleetSnapshot<'_>) -> Vec<Effect> {
         let FleetSnapshot {
-            mirror,
+            cache,
             leader,
             seen,
             types,
@@ -173,13 +173,13 @@
         if self.leader_revision != leader.revision {
             // What an earlier leadership knew is stale; answers still out are dropped by
             // their names. Its rentals are in the store.
-            *self = Manager {
+            *self = Autoscaler {
                 txn_ops: self.txn_ops,
                 value_bytes: self.value_bytes,
                 horizon: self.horizon,
                 leader_revision: leader.revision,
                 counter: self.counter,
-                ..Manager::default()
+                ..Autoscaler::default()
             };
         }
         let mut out = Vec::new();
@@ -189,48 +189,48 @@
         self.stepped = now;
         if seen >= self.wait_for {
             // Before that the mirror may show rentals that are settled.
-            self.adopt_rentals(now, mirror);
+            self.adopt_rentals(now, cache);
         }
         if !self.listing && now.since(self.listed_at) >= LIST_EVERY {
             self.listing = true;
             self.listed_at = now;
-            out.push(Effect::Cloud(CloudRequest::List));
+            out.push(Effect::Cloud(CloudRequest::Machines));
         }
         if now.since(self.scanned) >= SCAN_EVERY {
             self.scanned = now;
-            self.find_returns(now, mirror, types, news);
-            self.find_moves(mirror);
+            self.find_returns(now, cache, types, news);
+            self.find_moves(cache);
         }
         self.ask_returns(now, &mut out);
         if !self.writing && seen >= self.wait_for {
             if self.unfenced {
-                out.push(self.fence(mirror, leader));
-            } else if let Some(split) = self.split_oversize(now, mirror, leader) {
+                out.push(self.fence(cache, leader));
+            } else if let Some(split) = self.split_oversize(now, cache, leader) {
                 out.push(split);
             } else {
-                out.extend(self.change_machines(mirror, leader, types, news));
+                out.extend(self.change_machines(cache, leader, types, news));
             }
         }
-        self.ask_rentals(now, mirror, leader, &mut out);
+        self.ask_rentals(now, cache, leader, &mut out);
         self.rent(now, fleet, &mut out);
         out
     }
 
     /// Hires that an earlier leader recorded are repeated under their names.
-    fn adopt_rentals(&mut self, now: Micros, mirror: &Mirror) {
-        for (name, (_, rec)) in &mirror.rentals {
+    fn adopt_rentals(&mut self, now: Micros, cache: &WatchCache) {
+        for (name, (_, rec)) in &cache.rentals {
             self.rentals
                 .entry(name.clone())
-                .or_insert_with(|| (rec.clone(), RentalState::Ask(now)));
+                .or_insert_with(|| (rec.clone(), ScaleOutState::Ask(now)));
         }
     }
 
     /// Takes in the cloud's answer.
     pub fn cloud(&mut self, now: Micros, request: CloudRequest, reply: CloudReply) {
         match (request, reply) {
-            (CloudRequest::List, reply) => {
+            (CloudRequest::Machines, reply) => {
                 self.listing = false;
-                if let CloudReply::List(list) = reply {
+                if let CloudReply::Machines(list) = reply {
                     let list = list.into_iter().map(|m| (m.id.clone(), m)).collect();
                     let before = std::mem::replace(&mut self.list, list);
                     let list = &self.list;
@@ -247,12 +247,12 @@
                     }
                 }
             }
-            (CloudRequest::Rent(name, rental), reply) => {
+            (CloudRequest::ScaleOut(name, rental), reply) => {
                 let Some((_, state)) = self.rentals.get_mut(&name) else {
                     return;
                 };
-                let offer = Offer {
-                    build: rental.build.clone(),
+                let offer = InstanceOffer {
+                    machine_type: rental.machine_type.clone(),
                     zone: rental.zone.clone(),
                     spot: rental.spot,
                 };
@@ -274,23 +274,23 @@
                             c.count = ids.len() as u32;
                             c.until = now + CREDIT;
                         }
-                        *state = RentalState::Rented(ids);
+                        *state = ScaleOutState::Rented(ids);
                     }
                     CloudReply::NoCapacity => {
                         let b = self.backoff.entry(offer).or_default();
                         b.times += 1;
                         b.until = now + Micros::from_millis(5_000 << b.times.min(3));
-                        *state = RentalState::Refused;
+                        *state = ScaleOutState::Refused;
                         self.credits.remove(&name);
                     }
                     // It may have been carried out: only the same name may ask again.
-                    _ => *state = RentalState::Ask(now + Micros::from_millis(1_500)),
+                    _ => *state = ScaleOutState::Ask(now + Micros::from_millis(1_500)),
                 }
             }
-            (CloudRequest::Return(ids), reply) => {
+            (CloudRequest::Release(ids), reply) => {
                 self.return_out.clear();
                 for id in ids {
-                    if reply == CloudReply::Returned {
+                    if reply == CloudReply::Released {
                         self.returning.remove(&id);
                         self.missing.remove(&id);
                         self.list.remove(&id);
@@ -300,7 +300,7 @@
                     }
                 }
             }
-            (CloudRequest::Types, _) => {}
+            (CloudRequest::MachineTypes, _) => {}
         }
     }
 
@@ -317,7 +317,7 @@
                         }
                     }
                     // Surely not done, and it never will be.
-                    Reply::Conflict(_) | Reply::Refused => {}
+                    Reply::Conflict(_) | Reply::Rejected => {}
                     _ => self.unfenced = true,
                 }
             }
@@ -334,12 +334,12 @@
                     self.wait_for = *revision;
                 }
             }
-            Write::RentalState { name, .. } => {
+            Write::ScaleOut { name, .. } => {
                 let Some((_, state)) = self.rentals.get_mut(&name) else {
                     return;
                 };
                 match reply {
-                    Reply::Committed(_) => *state = RentalState::Ask(now),
+                    Reply::Committed(_) => *state = ScaleOutState::Ask(now),
                     // Nothing was asked of the cloud under this name. Should the record
                     // still be written, it is found and carried out then.
                     _ => {
@@ -352,7 +352,7 @@
                     self.wait_for = self.wait_for.max(*revision);
                     self.rentals.remove(&name);
                 } else if let Some((_, state)) = self.rentals.get_mut(&name) {
-                    *state = RentalState::Refused;
+                    *state = ScaleOutState::Refused;
                 }
             }
         }
@@ -360,4 +360,4 @@
 }
 
 /// The machine types, shared.
-pub type Types = Arc<Vec<MachineType>>;
+pub type MachineTypes = Arc<Vec<MachineType>>;
--- a/src/fleet/manager/returning.rs
+++ b/src/fleet/autoscaler/release.rs
@@ -6,31 +6,31 @@
 const GONE_AFTER: u32 = 2;
 const MOST_RETURNED: usize = 100;
 
-impl Manager {
+impl Autoscaler {
     pub(super) fn find_returns(
         &mut self,
         now: Micros,
-        mirror: &Mirror,
+        cache: &WatchCache,
         types: &[MachineType],
-        news: &BTreeMap<BlockId, BlockState>,
+        news: &BTreeMap<PartitionId, PartitionState>,
     ) {
-        let fresh: BTreeMap<BlockId, BTreeSet<&MachineId>> = news
+        let fresh: BTreeMap<PartitionId, BTreeSet<&MachineId>> = news
             .iter()
             .filter(|(b, n)| {
-                now.since(n.at) < Micros::from_millis(4_000)
-                    && mirror.holders.get(b).is_some_and(|(_, h)| h.term == n.term)
+                now.since(n.received_at) < Micros::from_millis(4_000)
+                    && cache.holders.get(b).is_some_and(|(_, h)| h.term == n.term)
             })
-            .map(|(b, n)| (*b, n.dead.iter().collect()))
+            .map(|(b, n)| (*b, n.releasable_machines.iter().collect()))
             .collect();
-        self.spare_the_heard(mirror, &fresh);
+        self.spare_the_heard(cache, &fresh);
         let mut add = |id: &MachineId, why: &str| {
             if !self.returning.contains_key(id) && !self.returned.contains(id) {
                 tracing::info!(machine = %id, why, "returning");
                 self.returning.insert(id.clone(), Some(now));
             }
         };
-        for (b, id, r) in mirror.all_machines() {
-            if r.freed == Some(Freed::Return) {
+        for (b, id, r) in cache.all_machines() {
+            if r.release_reason == Some(ReleaseReason::Return) {
                 add(id, "idle");
             }
             // What still boots is not silent.
@@ -38,7 +38,7 @@
                 && self
                     .list
                     .get(id)
-                    .is_none_or(|l| l.standing != CloudStanding::Booting)
+                    .is_none_or(|l| l.state != InstanceState::Booting)
             {
                 add(id, "silent or failing");
                 self.silent.insert(id.clone());
@@ -47,18 +47,18 @@
         // Taken by the cloud, most likely. A list may be older than the one before, so
         // one is not enough; that all on it is gone, only the return's answer says.
         for (id, lists) in &self.missing {
-            if *lists >= GONE_AFTER && mirror.machine(id).is_some() {
+            if *lists >= GONE_AFTER && cache.machine(id).is_some() {
                 add(id, "no longer listed");
             }
         }
         for m in self.list.values() {
             let boot = types
                 .iter()
-                .find(|t| t.name == m.build)
+                .find(|t| t.name == m.machine_type)
                 .map_or(60.0, |t| t.boot_s);
-            if m.standing == CloudStanding::Failed {
+            if m.state == InstanceState::Failed {
                 add(&m.id, "failed");
-            } else if m.standing == CloudStanding::Booting && m.age_s > boot * 2.5 + 10.0 {
+            } else if m.state == InstanceState::Booting && m.age_s > boot * 2.5 + 10.0 {
                 // It may never come up, and is charged all the while.
                 add(&m.id, "not up in time");
             }
@@ -69,13 +69,13 @@
     /// asked: hung or cut off by the hundred, they were to go for what is over.
     pub(super) fn spare_the_heard(
         &mut self,
-        mirror: &Mirror,
-        dead: &BTreeMap<BlockId, BTreeSet<&MachineId>>,
+        cache: &WatchCache,
+        dead: &BTreeMap<PartitionId, BTreeSet<&MachineId>>,
     ) {
         let (returning, out) = (&mut self.returning, &self.return_out);
         self.silent.retain(|id| {
             let waits = matches!(returning.get(id), Some(Some(_))) && !out.contains(id);
-            let heard = mirror
+            let heard = cache
                 .machine(id)
                 .and_then(|((b, _), _)| dead.get(&b))
                 .is_some_and(|dead| !dead.contains(id));
@@ -98,7 +98,7 @@
         let ids: Vec<MachineId> = due.map(|(id, _)| id.clone()).take(MOST_RETURNED).collect();
         if !ids.is_empty() {
             self.return_out = ids.clone();
-            out.push(Effect::Cloud(CloudRequest::Return(ids)));
+            out.push(Effect::Cloud(CloudRequest::Release(ids)));
         }
     }
 }
--- a/src/fleet/manager/renting.rs
+++ b/src/fleet/autoscaler/scale_out.rs
@@ -1,16 +1,18 @@
 //! What to rent for the room that waiting work lacks, and asking the cloud for it.
 
-use super::{Credit, Effect, FleetSnapshot, Manager, Offer, RentalState, Write};
-use crate::blocks::RentalRecord;
+use super::{
+    Autoscaler, Effect, FleetSnapshot, InstanceOffer, PendingCapacity, ScaleOutState, Write,
+};
 use crate::clock::Micros;
 use crate::fairness::Resources;
 use crate::fleet::{CloudRequest, MachineType};
 use crate::ids::Revision;
-use crate::placement::Need;
-use crate::store::mirror::Mirror;
-use crate::store::{self, Cond, cond, keys};
+use crate::partitions::ScaleOutRecord;
+use crate::placement::CapacityRequest;
+use crate::store::{self, Compare, compare, keys};
+use crate::watch_cache::WatchCache;
 use std::collections::BTreeMap;
-use zone_failover::leader::RentalAccess;
+use zone_failover::leader::ScaleOutAccess;
 
 const MOST_RENTALS_OUT: usize = 6;
 
@@ -30,36 +32,36 @@
 /// The cloud takes no more in one request.
 const MOST_PER_RENTAL: u32 = 50;
 
-impl Manager {
+impl Autoscaler {
     pub(super) fn ask_rentals(
         &mut self,
         now: Micros,
-        mirror: &Mirror,
-        leader: &Cond,
+        cache: &WatchCache,
+        leader: &Compare,
         out: &mut Vec<Effect>,
     ) {
         for (name, (rental, state)) in &mut self.rentals {
             match state {
-                RentalState::Ask(at) if now >= *at => {
-                    out.push(Effect::Cloud(CloudRequest::Rent(
+                ScaleOutState::Ask(at) if now >= *at => {
+                    out.push(Effect::Cloud(CloudRequest::ScaleOut(
                         name.clone(),
                         rental.clone(),
                     )));
-                    *state = RentalState::StatusQuery;
+                    *state = ScaleOutState::StatusQuery;
                 }
-                RentalState::Refused => {
-                    *state = RentalState::Recording;
+                ScaleOutState::Refused => {
+                    *state = ScaleOutState::Recording;
                     // Only if it is recorded; else there is nothing to drop.
-                    if let Some((revision, _)) = mirror.rentals.get(name) {
-                        let key = keys::rental(name);
-                        let conds = vec![leader.clone(), cond(key.clone(), *revision)];
-                        out.push(Effect::Txn(
+                    if let Some((revision, _)) = cache.rentals.get(name) {
+                        let key = keys::scale_out(name);
+                        let compares = vec![leader.clone(), compare(key.clone(), *revision)];
+                        out.push(Effect::CompareAndSwap(
                             Write::Drop { name: name.clone() },
-                            conds,
+                            compares,
                             vec![store::delete(key)],
                         ));
                     } else {
-                        *state = RentalState::Refused;
+                        *state = ScaleOutState::Refused;
                     }
                 }
                 _ => {}
@@ -69,7 +71,7 @@
 
     pub(super) fn rent(&mut self, now: Micros, fleet: &FleetSnapshot<'_>, out: &mut Vec<Effect>) {
         let FleetSnapshot {
-            mirror,
+            cache,
             leader,
             types,
             news,
@@ -78,7 +80,7 @@
         } = *fleet;
         self.credits.retain(|_, c| c.until > now);
         self.shapes.retain(|(_, at)| now.since(*at) < SHAPE_KEPT);
-        for need in news.values().flat_map(|n| &n.needs) {
+        for need in news.values().flat_map(|n| &n.capacity_requests) {
             match self.shapes.iter_mut().find(|(s, _)| *s == need.request) {
                 Some((_, at)) => *at = now,
                 None => self.shapes.push((need.request, now)),
@@ -90,20 +92,20 @@
         let out_now = self
             .rentals
             .values()
-            .filter(|(_, h)| !matches!(h, RentalState::Refused))
+            .filter(|(_, h)| !matches!(h, ScaleOutState::Refused))
             .count();
         let mut may = MOST_RENTALS_OUT.saturating_sub(out_now);
-        if may == 0 || news.values().all(|n| n.needs.is_empty()) {
+        if may == 0 || news.values().all(|n| n.capacity_requests.is_empty()) {
             return;
         }
         let mut have: BTreeMap<(&str, &str, bool), usize> = BTreeMap::new();
-        for (_, _, m) in mirror.all_machines() {
-            *have.entry((&m.build, &m.zone, m.spot)).or_default() += 1;
+        for (_, _, m) in cache.all_machines() {
+            *have.entry((&m.machine_type, &m.zone, m.spot)).or_default() += 1;
             // Under the empty zone: in all of them.
-            *have.entry((&m.build, "", m.spot)).or_default() += 1;
+            *have.entry((&m.machine_type, "", m.spot)).or_default() += 1;
         }
         for (b, n) in news {
-            if now.since(n.at) > Micros::from_millis(4_000) {
+            if now.since(n.received_at) > Micros::from_millis(4_000) {
                 continue;
             }
             // What is on its way serves the needs in their order; so does what is
@@ -112,7 +114,7 @@
             let mut rooms: Vec<Resources> = on_the_way
                 .flat_map(|c| std::iter::repeat_n(c.capacity, c.count as usize))
                 .collect();
-            for need in &n.needs {
+            for need in &n.capacity_requests {
                 let mut count = need.count;
                 for free in &mut rooms {
                     let n = need.request.times_in(free).min(count);
@@ -128,15 +130,15 @@
                 if !spot {
                     // Ordinary machines cost several times as much: work that is soon
                     // over by itself is worth fewer of them.
-                    let part = |h: f64| (need.estimate_s / h).min(1.0);
+                    let part = |h: f64| (need.estimated_run_time_s / h).min(1.0);
                     let horizon = self.horizon.as_secs();
                     count = (f64::from(count) * part(3.0 * horizon) / part(horizon)).round() as u32;
                 }
                 let per = need.request.times_in(&t.capacity()).max(1);
                 let most = match access(&zone) {
-                    RentalAccess::Open => MOST_PER_RENTAL,
-                    RentalAccess::Probe => 1,
-                    RentalAccess::Closed => 0,
+                    ScaleOutAccess::Open => MOST_PER_RENTAL,
+                    ScaleOutAccess::Probe => 1,
+                    ScaleOutAccess::Closed => 0,
                 };
                 let machines = count.div_ceil(per).min(most);
                 if machines == 0 {
@@ -147,12 +149,12 @@
                     let used = (count - (i * per).min(count)).min(per);
                     rooms.push(t.capacity() - need.request.scale(f64::from(used)));
                 }
-                let rental = RentalRecord {
-                    build: t.name.clone(),
+                let rental = ScaleOutRecord {
+                    machine_type: t.name.clone(),
                     zone,
                     spot,
                     count: machines,
-                    block: *b,
+                    partition: *b,
                 };
                 out.push(self.record_rental(now, leader, rental, t.capacity()));
             }
@@ -163,8 +165,8 @@
     fn record_rental(
         &mut self,
         now: Micros,
-        leader: &Cond,
-        rental: RentalRecord,
+        leader: &Compare,
+        rental: ScaleOutRecord,
         capacity: Resources,
     ) -> Effect {
         self.counter += 1;
@@ -174,24 +176,29 @@
         let until = now + Micros::from_millis(8_000);
         self.credits.insert(
             name.clone(),
-            Credit {
-                block: rental.block,
+            PendingCapacity {
+                block: rental.partition,
                 until,
                 capacity,
                 count: rental.count,
             },
         );
-        let key = keys::rental(&name);
-        let conds = vec![leader.clone(), cond(key.clone(), Revision(0))];
-        let ops = vec![store::set(key, &rental)];
+        let key = keys::scale_out(&name);
+        let compares = vec![leader.clone(), compare(key.clone(), Revision(0))];
+        let mutations = vec![store::put(key, &rental)];
         self.rentals
-            .insert(name.clone(), (rental.clone(), RentalState::Recording));
-        Effect::Txn(Write::RentalState { name, rental }, conds, ops)
+            .insert(name.clone(), (rental.clone(), ScaleOutState::Recording));
+        Effect::CompareAndSwap(Write::ScaleOut { name, rental }, compares, mutations)
     }
 
     /// Whether work that fits no smaller type was short of room lately: there are
     /// only so many large machines, and small tasks have a choice.
-    fn wanted_by_larger(&self, t: &MachineType, types: &[MachineType], need: &Need) -> bool {
+    fn wanted_by_larger(
+        &self,
+        t: &MachineType,
+        types: &[MachineType],
+        need: &CapacityRequest,
+    ) -> bool {
         let fitting = types.iter().filter(|t| need.request.fits_in(&t.capacity()));
         let Some(least) = fitting.min_by(|a, b| a.cores.total_cmp(&b.cores)) else {
             return false;
@@ -204,12 +211,12 @@
 
     /// Whether anything may be rented in a zone. Where its state is to be found out, one
     /// machine at a time.
-    fn may_rent_in(&self, zone: &str, access: &dyn Fn(&str) -> RentalAccess) -> bool {
+    fn may_rent_in(&self, zone: &str, access: &dyn Fn(&str) -> ScaleOutAccess) -> bool {
         let asked = || self.rentals.values().any(|(rental, _)| rental.zone == zone);
         match access(zone) {
-            RentalAccess::Open => true,
-            RentalAccess::Probe => !asked(),
-            RentalAccess::Closed => false,
+            ScaleOutAccess::Open => true,
+            ScaleOutAccess::Probe => !asked(),
+            ScaleOutAccess::Closed => false,
         }
     }
 
@@ -220,8 +227,8 @@
         now: Micros,
         have: &BTreeMap<(&str, &str, bool), usize>,
         types: &[MachineType],
-        need: &Need,
-        access: &dyn Fn(&str) -> RentalAccess,
+        need: &CapacityRequest,
+        access: &dyn Fn(&str) -> ScaleOutAccess,
     ) -> Option<(MachineType, String, bool)> {
         let mut best: Option<(f64, MachineType, String, bool)> = None;
         for t in types {
@@ -231,17 +238,17 @@
                     continue;
                 }
                 for spot in [true, false] {
-                    let offer = Offer {
-                        build: t.name.clone(),
+                    let offer = InstanceOffer {
+                        machine_type: t.name.clone(),
                         zone: zone.clone(),
                         spot,
                     };
                     let open = self.backoff.get(&offer).is_none_or(|b| now >= b.until);
                     let asked = self.rentals.values().any(|(h, s)| {
-                        h.build == t.name
+                        h.machine_type == t.name
                             && h.zone == *zone
                             && h.spot == spot
-                            && !matches!(s, RentalState::Refused)
+                            && !matches!(s, ScaleOutState::Refused)
                     });
                     if !open || asked || !need.fits(&t.name, zone, spot, &t.capacity()) {
                         continue;
--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -1,28 +1,29 @@
 //! HTTP to the cloud, below its limit at all times.
 
-use super::{CloudReply, CloudRequest, Listed, MachineType};
-use crate::clock::Steady;
+use super::{CloudMachine, CloudReply, CloudRequest, MachineType};
+use crate::clock::MonotonicClock;
 use crate::controller::http::{HttpRequest, Pool};
 use crate::ids::MachineId;
-use crate::store::client::Bucket;
+use crate::store::client::TokenBucket;
 use serde::Deserialize;
 use serde_json::json;
 use std::cell::RefCell;
 use std::time::Duration;
 
 /// A client of the cloud's interface.
-pub struct Cloud {
+pub struct CloudClient {
     pool: Pool,
-    bucket: RefCell<Bucket>,
-    clock: Steady,
+    bucket: RefCell<TokenBucket>,
+    clock: MonotonicClock,
 }
 
 const DEADLINE: Duration = Duration::from_secs(6);
 const PAGE: usize = 500;
 
 #[derive(Deserialize)]
-struct Types {
-    builds: Vec<MachineType>,
+struct MachineTypesPage {
+    #[serde(rename = "builds")]
+    machine_types: Vec<MachineType>,
 }
 #[derive(Deserialize)]
 struct Rented {
@@ -30,19 +31,19 @@
 }
 #[derive(Deserialize)]
 struct List {
-    rigs: Vec<Listed>,
+    rigs: Vec<CloudMachine>,
     #[serde(default)]
     more: bool,
 }
 
-impl Cloud {
+impl CloudClient {
     /// A client that stays below `rps` requests a second.
-    pub fn new(pool: Pool, clock: Steady, rps: f64) -> Self {
+    pub fn new(pool: Pool, clock: MonotonicClock, rps: f64) -> Self {
         // Only the leader calls regularly; the others' few calls at their start
         // fit into what is left.
-        Cloud {
+        CloudClient {
             pool,
-            bucket: RefCell::new(Bucket::new(rps * 0.75, clock.now())),
+            bucket: RefCell::new(TokenBucket::new(rps * 0.75, clock.now())),
             clock,
         }
     }
@@ -50,36 +51,37 @@
     /// Asks once, as soon as the limit allows.
     pub async fn ask(&self, request: &CloudRequest) -> CloudReply {
         match request {
-            CloudRequest::Types => match self.send(http_request(request)).await {
-                Some((200, b)) => {
-                    read(&b).map_or(CloudReply::Unknown, |t: Types| CloudReply::Types(t.builds))
-                }
-                _ => CloudReply::Unknown,
+            CloudRequest::MachineTypes => match self.send(http_request(request)).await {
+                Some((200, b)) => read(&b)
+                    .map_or(CloudReply::Indeterminate, |t: MachineTypesPage| {
+                        CloudReply::MachineTypes(t.machine_types)
+                    }),
+                _ => CloudReply::Indeterminate,
             },
-            CloudRequest::List => self
+            CloudRequest::Machines => self
                 .list()
                 .await
-                .map_or(CloudReply::Unknown, CloudReply::List),
-            CloudRequest::Rent(..) => {
+                .map_or(CloudReply::Indeterminate, CloudReply::Machines),
+            CloudRequest::ScaleOut(..) => {
                 match self.send(http_request(request)).await {
-                    Some((200, b)) => {
-                        read(&b).map_or(CloudReply::Unknown, |r: Rented| CloudReply::Rented(r.rigs))
-                    }
+                    Some((200, b)) => read(&b).map_or(CloudReply::Indeterminate, |r: Rented| {
+                        CloudReply::Rented(r.rigs)
+                    }),
                     Some((503, b)) if contains(&b, b"no capacity") => CloudReply::NoCapacity,
                     // Malformed: it was not carried out and never will be.
                     Some((400, _)) => CloudReply::NoCapacity,
-                    _ => CloudReply::Unknown,
+                    _ => CloudReply::Indeterminate,
                 }
             }
-            CloudRequest::Return(_) => match self.send(http_request(request)).await {
-                Some((200, _)) => CloudReply::Returned,
-                _ => CloudReply::Unknown,
+            CloudRequest::Release(_) => match self.send(http_request(request)).await {
+                Some((200, _)) => CloudReply::Released,
+                _ => CloudReply::Indeterminate,
             },
         }
     }
 
-    async fn list(&self) -> Option<Vec<Listed>> {
-        let mut all: Vec<Listed> = Vec::new();
+    async fn list(&self) -> Option<Vec<CloudMachine>> {
+        let mut all: Vec<CloudMachine> = Vec::new();
         loop {
             let last = all.last().map(|machine| &machine.id);
             let (status, body) = self.send(list_request(last)).await?;
@@ -110,14 +112,14 @@
 /// The request as the cloud's interface has it; of a list, its first page.
 pub(crate) fn http_request(request: &CloudRequest) -> HttpRequest {
     match request {
-        CloudRequest::Types => HttpRequest::get("/machine_types".into()),
-        CloudRequest::List => list_request(None),
-        CloudRequest::Rent(name, rental) => {
-            let body = json!({"hire": name, "build": rental.build, "yard": rental.zone,
+        CloudRequest::MachineTypes => HttpRequest::get("/machine_types".into()),
+        CloudRequest::Machines => list_request(None),
+        CloudRequest::ScaleOut(name, rental) => {
+            let body = json!({"hire": name, "build": rental.machine_type, "yard": rental.zone,
                               "loaners": rental.spot, "howMany": rental.count});
             HttpRequest::post("/machines".into(), body)
         }
-        CloudRequest::Return(ids) => {
+        CloudRequest::Release(ids) => {
             HttpRequest::post("/machines/return".into(), json!({"rigs": ids}))
         }
     }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! Machines of the cloud: types, renting, returning.
 
+pub mod autoscaler;
 pub mod client;
-pub mod manager;
 mod shards;
 
 use crate::fairness::Resources;
@@ -17,10 +17,11 @@
     pub cores: f64,
     /// Accelerators of a machine.
     #[serde(default)]
-    pub cards: f64,
+    #[serde(rename = "cards")]
+    pub gpus: f64,
     /// Memory of a machine, in GB.
     #[serde(rename = "memGb")]
-    pub mem: f64,
+    pub memory_gb: f64,
     /// Room for images, in GB.
     #[serde(rename = "cacheGb", default)]
     pub cache_gb: f64,
@@ -43,14 +44,14 @@
 impl MachineType {
     /// All that tasks may take of a machine.
     pub fn capacity(&self) -> Resources {
-        Resources::new(self.cores, self.cards, self.mem)
+        Resources::new(self.cores, self.gpus, self.memory_gb)
     }
 }
 
 /// What the cloud says of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum CloudStanding {
+pub enum InstanceState {
     /// Not up yet.
     Booting,
     /// Up.
@@ -61,14 +62,15 @@
 
 /// A machine in the cloud's list.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Listed {
+pub struct CloudMachine {
     /// The machine's name.
     pub id: MachineId,
     /// Where its worker takes direct commands.
     #[serde(default)]
     pub addr: Option<String>,
     /// Its type.
-    pub build: String,
+    #[serde(rename = "build")]
+    pub machine_type: String,
     /// Its zone.
     #[serde(rename = "yard")]
     pub zone: String,
@@ -76,7 +78,8 @@
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// Whether it is up.
-    pub standing: CloudStanding,
+    #[serde(rename = "standing")]
+    pub state: InstanceState,
     /// Seconds since it was rented, when the list was made.
     #[serde(rename = "heldS", default)]
     pub age_s: f64,
@@ -86,28 +89,28 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
     /// Which types there are, and their prices.
-    Types,
+    MachineTypes,
     /// The whole list, page by page.
-    List,
+    Machines,
     /// To rent machines, under this name.
-    Rent(String, crate::blocks::RentalRecord),
+    ScaleOut(String, crate::partitions::ScaleOutRecord),
     /// To take machines back.
-    Return(Vec<MachineId>),
+    Release(Vec<MachineId>),
 }
 
 /// What the cloud answers.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
     /// The types.
-    Types(Vec<MachineType>),
+    MachineTypes(Vec<MachineType>),
     /// The machines.
-    List(Vec<Listed>),
+    Machines(Vec<CloudMachine>),
     /// Rented, as many as there were.
     Rented(Vec<MachineId>),
     /// There are none of this type, zone and kind.
     NoCapacity,
     /// They and all that was on them are gone.
-    Returned,
+    Released,
     /// Trouble, or no answer: it may still be carried out.
-    Unknown,
+    Indeterminate,
 }
--- a/src/fleet/shards.rs
+++ b/src/fleet/shards.rs
@@ -1,25 +1,25 @@
 //! Where machines are recorded: which block gets one, and in which shard.
 
 use super::MachineType;
-use crate::blocks::{MachineRecord, MachinesRecord};
-use crate::ids::{BlockId, MachineId};
-use crate::mesh::BlockState;
+use crate::ids::{MachineId, PartitionId};
+use crate::mesh::PartitionState;
+use crate::partitions::{MachineRecord, MachinesRecord};
 use crate::store::TXN_BYTES;
-use crate::store::mirror::Mirror;
+use crate::watch_cache::WatchCache;
 use std::collections::BTreeMap;
 
 /// The shards that one transaction changes, within what it may hold.
-pub struct Draft<'a> {
-    mirror: &'a Mirror,
+pub struct ShardTransaction<'a> {
+    cache: &'a WatchCache,
     value_bytes: usize,
     txn_ops: usize,
-    pub shards: BTreeMap<(BlockId, u32), MachinesRecord>,
+    pub shards: BTreeMap<(PartitionId, u32), MachinesRecord>,
 }
 
-impl<'a> Draft<'a> {
-    pub fn new(mirror: &'a Mirror, value_bytes: usize, txn_ops: usize) -> Self {
-        Draft {
-            mirror,
+impl<'a> ShardTransaction<'a> {
+    pub fn new(cache: &'a WatchCache, value_bytes: usize, txn_ops: usize) -> Self {
+        ShardTransaction {
+            cache,
             value_bytes,
             txn_ops,
             shards: BTreeMap::new(),
@@ -33,9 +33,9 @@
         self.shards.len() + others + 1 >= self.txn_ops || bytes > TXN_BYTES
     }
 
-    fn shard(&mut self, at: (BlockId, u32), others: usize) -> Option<&mut MachinesRecord> {
+    fn shard(&mut self, at: (PartitionId, u32), others: usize) -> Option<&mut MachinesRecord> {
         if !self.shards.contains_key(&at) {
-            let old = self.mirror.machines.get(&at);
+            let old = self.cache.machines.get(&at);
             // One that is too large to be written is split first, in a write of its own.
             let oversize = old.is_some_and(|(_, rec)| rec.is_oversize(self.value_bytes));
             if oversize || self.full(others) {
@@ -52,7 +52,7 @@
     /// Into the first shard of the block with room, or a new one.
     pub fn insert(
         &mut self,
-        b: BlockId,
+        b: PartitionId,
         id: &MachineId,
         rec: MachineRecord,
         others: usize,
@@ -63,7 +63,7 @@
             let now = self
                 .shards
                 .get(&at)
-                .or_else(|| self.mirror.machines.get(&at).map(|(_, r)| &**r));
+                .or_else(|| self.cache.machines.get(&at).map(|(_, r)| &**r));
             if now.is_none_or(|r| r.has_room(&rec, self.value_bytes)) {
                 let Some(shard) = self.shard(at, others) else {
                     return false;
@@ -75,7 +75,7 @@
         }
     }
 
-    pub fn remove(&mut self, at: (BlockId, u32), id: &MachineId, others: usize) -> bool {
+    pub fn remove(&mut self, at: (PartitionId, u32), id: &MachineId, others: usize) -> bool {
         let shard = self.shard(at, others);
         shard.is_some_and(|s| s.0.remove(id).is_some())
     }
@@ -83,29 +83,30 @@
 
 /// Spreads machines over the blocks: to the one that lacks such a machine most, by
 /// what its holder reports and what it got just now, or to the one with the least.
-pub struct Spread<'a> {
-    news: &'a BTreeMap<BlockId, BlockState>,
+pub struct PartitionBalancer<'a> {
+    news: &'a BTreeMap<PartitionId, PartitionState>,
     types: &'a [MachineType],
-    cores: BTreeMap<BlockId, f64>,
-    given: BTreeMap<BlockId, f64>,
+    cores: BTreeMap<PartitionId, f64>,
+    given: BTreeMap<PartitionId, f64>,
 }
 
-impl<'a> Spread<'a> {
+impl<'a> PartitionBalancer<'a> {
     pub fn new(
-        mirror: &Mirror,
-        news: &'a BTreeMap<BlockId, BlockState>,
+        cache: &WatchCache,
+        news: &'a BTreeMap<PartitionId, PartitionState>,
         types: &'a [MachineType],
-        blocks: &[BlockId],
+        blocks: &[PartitionId],
     ) -> Self {
-        let mut cores: BTreeMap<BlockId, f64> = blocks.iter().map(|b| (*b, 0.0)).collect();
-        for (b, _, m) in mirror.all_machines() {
-            if let (Some(sum), Some(t)) =
-                (cores.get_mut(&b), types.iter().find(|t| t.name == m.build))
-            {
+        let mut cores: BTreeMap<PartitionId, f64> = blocks.iter().map(|b| (*b, 0.0)).collect();
+        for (b, _, m) in cache.all_machines() {
+            if let (Some(sum), Some(t)) = (
+                cores.get_mut(&b),
+                types.iter().find(|t| t.name == m.machine_type),
+            ) {
                 *sum += t.cores;
             }
         }
-        Spread {
+        PartitionBalancer {
             news,
             types,
             cores,
@@ -113,18 +114,21 @@
         }
     }
 
-    pub fn next(&mut self, build: &str, zone: &str, spot: bool) -> Option<BlockId> {
-        let t = self.types.iter().find(|t| t.name == build)?;
+    pub fn next(&mut self, machine_type: &str, zone: &str, spot: bool) -> Option<PartitionId> {
+        let t = self.types.iter().find(|t| t.name == machine_type)?;
         let capacity = t.capacity();
-        let lacking = |b: &BlockId| {
-            let needs = self.news.get(b).map_or(&[][..], |n| n.needs.as_slice());
+        let lacking = |b: &PartitionId| {
+            let needs = self
+                .news
+                .get(b)
+                .map_or(&[][..], |n| n.capacity_requests.as_slice());
             let fitting = needs
                 .iter()
-                .filter(|n| n.fits(build, zone, spot, &capacity));
+                .filter(|n| n.fits(machine_type, zone, spot, &capacity));
             let cores: f64 = fitting.map(|n| n.request.cores * f64::from(n.count)).sum();
             (cores - self.given.get(b).copied().unwrap_or(0.0)).max(0.0)
         };
-        let weight = |(b, cores): &(&BlockId, &f64)| (lacking(b), -**cores);
+        let weight = |(b, cores): &(&PartitionId, &f64)| (lacking(b), -**cores);
         let to = self
             .cores
             .iter()
--- a/src/jobs/dependencies.rs
+++ b/src/jobs/dependencies.rs
@@ -8,7 +8,7 @@
 //! A job is accepted after all that it names, so the graph has no cycles. Walks are
 //! iterative all the same and visit each job once.
 
-use super::{EndedRecord, JobDesc, JobRecord, Rank, Standing};
+use super::{EndedRecord, JobDesc, JobRecord, JobState, Priority};
 use crate::clock::Micros;
 use crate::ids::{JobId, Revision};
 use crate::store::Reply;
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DoneAt {
     /// The time of day; none: an earlier version did not record it.
-    pub day: Option<Micros>,
+    pub wall_clock: Option<Micros>,
     /// The store's revision.
     pub revision: Revision,
 }
@@ -39,7 +39,7 @@
 impl DoneAt {
     fn last(self, other: DoneAt) -> DoneAt {
         DoneAt {
-            day: self.day.max(other.day),
+            wall_clock: self.wall_clock.max(other.wall_clock),
             revision: self.revision.max(other.revision),
         }
     }
@@ -48,13 +48,16 @@
 impl JobEnd {
     /// The end that a record of this revision tells of.
     pub fn of(record: &EndedRecord, revision: Revision) -> JobEnd {
-        JobEnd::new(record.standing, record.at, revision)
+        JobEnd::new(record.state, record.ended_at, revision)
     }
 
     /// An end that was stored at this revision.
-    pub fn new(standing: Standing, day: Option<Micros>, revision: Revision) -> JobEnd {
+    pub fn new(standing: JobState, wall_clock: Option<Micros>, revision: Revision) -> JobEnd {
         match standing {
-            Standing::Done => JobEnd::Done(DoneAt { day, revision }),
+            JobState::Done => JobEnd::Done(DoneAt {
+                wall_clock,
+                revision,
+            }),
             _ => JobEnd::Cancelled,
         }
     }
@@ -75,7 +78,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Inherited {
     /// The highest priority of all that need it.
-    pub rank: Rank,
+    pub rank: Priority,
     /// The time of day by which it must be done so that all that need it can keep their
     /// deadlines; none: none of them has one.
     pub due: Option<Micros>,
@@ -229,7 +232,7 @@
 
     /// The record of an ended job was read, or not.
     pub fn end_read(&mut self, now: Micros, id: &JobId, reply: &Reply) {
-        let Reply::Found(row) = reply else {
+        let Reply::Value(row) = reply else {
             self.read_again(now, id);
             return;
         };
@@ -345,11 +348,14 @@
 /// What a job that needs others gives to them.
 fn passed_on(rec: &JobRecord, inherited: Option<&Inherited>) -> Inherited {
     let own = Inherited {
-        rank: rec.desc.rank,
-        due: rec.desc.due_s.map(|due| rec.at + Micros::from_secs(due)),
+        rank: rec.desc.priority,
+        due: rec
+            .desc
+            .deadline_s
+            .map(|due| rec.accepted_at + Micros::from_secs(due)),
     };
     let all = inherited.map_or(own, |i| i.join(own));
-    let takes = Micros::from_secs(rec.desc.estimate_s + STAGE_S);
+    let takes = Micros::from_secs(rec.desc.estimated_run_time_s + STAGE_S);
     Inherited {
         due: all.due.map(|due| Micros(due.0.saturating_sub(takes.0))),
         ..all
--- a/src/jobs/dependencies/tests.rs
+++ b/src/jobs/dependencies/tests.rs
@@ -1,7 +1,7 @@
 use super::super::tests::{desc, rec};
 use super::*;
 use crate::ids::Term;
-use crate::store::Row;
+use crate::store::KeyValue;
 
 fn secs(s: f64) -> Micros {
     Micros::from_secs(s)
@@ -10,7 +10,7 @@
 /// As the records of these tests say.
 fn done_at(s: f64) -> DoneAt {
     DoneAt {
-        day: Some(secs(s)),
+        wall_clock: Some(secs(s)),
         revision: Revision(9),
     }
 }
@@ -20,8 +20,8 @@
     let job = |(id, needs): &(&str, &[&str])| {
         let mut record = rec(id, 1, Term(1));
         record.desc.dependencies = needs.iter().map(|n| JobId::from(*n)).collect();
-        record.desc.rank = Rank::Idle;
-        record.desc.due_s = None;
+        record.desc.priority = Priority::Idle;
+        record.desc.deadline_s = None;
         (JobId::from(*id), (Revision(1), Rc::new(record)))
     };
     jobs.iter().map(job).collect()
@@ -38,14 +38,14 @@
     graph.sync_job(secs(2.0), &id.into(), live);
 }
 
-fn ended(standing: Standing, at: Option<Micros>) -> Reply {
+fn ended(standing: JobState, at: Option<Micros>) -> Reply {
     let record = EndedRecord {
-        standing,
+        state: standing,
         tasks: 1,
         footprint: None,
-        at,
+        ended_at: at,
     };
-    Reply::Found(Row {
+    Reply::Value(KeyValue {
         key: "ended/j-1".into(),
         value: serde_json::to_value(record).expect("a record"),
         revision: Revision(9),
@@ -64,18 +64,22 @@
     assert_eq!(graph.reads(secs(2.0)), vec![JobId::from("j-1")]);
     assert_eq!(graph.reads(secs(2.0)), vec![], "one read at a time");
     // No answer, no record, and one that can't be read say nothing.
-    let broken = Reply::Found(Row {
+    let broken = Reply::Value(KeyValue {
         key: "ended/j-1".into(),
         value: serde_json::json!({"standing": "over"}),
         revision: Revision(9),
     });
-    for (at, reply) in [(3.0, Reply::Unknown), (4.0, Reply::Missing), (5.0, broken)] {
+    for (at, reply) in [
+        (3.0, Reply::Indeterminate),
+        (4.0, Reply::NotFound),
+        (5.0, broken),
+    ] {
         graph.end_read(secs(at), &"j-1".into(), &reply);
         assert_eq!(graph.readiness(&"j-2".into()), waits);
         assert_eq!(graph.reads(secs(at + 0.1)), vec![], "not at once again");
         assert_eq!(graph.reads(secs(at + 0.6)), vec![JobId::from("j-1")]);
     }
-    let done = ended(Standing::Done, Some(secs(2.0)));
+    let done = ended(JobState::Done, Some(secs(2.0)));
     graph.end_read(secs(6.0), &"j-1".into(), &done);
     let ready = Readiness::Ready(done_at(2.0));
     assert_eq!(graph.readiness(&"j-2".into()), ready);
@@ -101,7 +105,7 @@
         [Some(false), Some(false), None, Some(false)],
         "only what needs the unknown one is unknown"
     );
-    graph.end_read(secs(3.0), &"j-2".into(), &ended(Standing::Cancelled, None));
+    graph.end_read(secs(3.0), &"j-2".into(), &ended(JobState::Cancelled, None));
     assert_eq!(
         told(&graph),
         [Some(false), Some(false), Some(true), Some(false)]
@@ -143,17 +147,17 @@
         change(&mut Rc::make_mut(rec).desc);
     };
     last(&mut jobs, &|d| {
-        (d.rank, d.due_s, d.estimate_s) = (Rank::High, Some(100.0), 8.0);
+        (d.priority, d.deadline_s, d.estimated_run_time_s) = (Priority::High, Some(100.0), 8.0);
     });
     let mut graph = graph(&jobs);
     assert!(graph.refresh(&jobs) && !graph.refresh(&jobs));
     let middle = graph.inherited(&"j-2".into()).expect("something");
     let due = secs(100.0 - 8.0 - STAGE_S);
-    assert_eq!((middle.rank, middle.due), (Rank::High, Some(due)));
+    assert_eq!((middle.rank, middle.due), (Priority::High, Some(due)));
     // The middle one takes 10 s, as its owner estimates.
     let first = graph.inherited(&"j-1".into()).expect("something");
     let due = Micros(due.0 - secs(10.0 + STAGE_S).0);
-    assert_eq!((first.rank, first.due), (Rank::High, Some(due)));
+    assert_eq!((first.rank, first.due), (Priority::High, Some(due)));
     assert_eq!(graph.inherited(&"j-3".into()), None);
     assert_eq!(graph.inherited(&"j-4".into()), None);
     // Cancelled, it needs nothing any more.
@@ -161,7 +165,7 @@
     assert!(graph.refresh(&jobs));
     assert_eq!(graph.inherited(&"j-2".into()), None);
     let first = graph.inherited(&"j-1".into()).expect("something");
-    assert_eq!((first.rank, first.due), (Rank::Idle, None));
+    assert_eq!((first.rank, first.due), (Priority::Idle, None));
 }
 
 /// Guards against walks that call themselves, and run out of stack.
@@ -201,7 +205,7 @@
         assert!(!out.is_empty() && out.len() <= MOST_READS);
         read += out.len();
         for id in out {
-            let done = ended(Standing::Done, Some(secs(1.0)));
+            let done = ended(JobState::Done, Some(secs(1.0)));
             graph.end_read(secs(2.0), &id, &done);
         }
     }
--- a/src/jobs/description.rs
+++ b/src/jobs/description.rs
@@ -20,7 +20,7 @@
 /// A job's priority; a higher one may stop a lower one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Rank {
+pub enum Priority {
     /// Runs in what is left.
     Idle,
     /// The usual one.
@@ -34,9 +34,10 @@
 /// How a job's tasks belong together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Form {
+pub enum JobKind {
     /// Independent tasks.
-    Sweep,
+    #[serde(rename = "sweep")]
+    Array,
     /// Runs until it is cancelled (see docs/questions.md).
     Service,
 }
@@ -53,19 +54,22 @@
     #[serde(rename = "crew")]
     pub team: String,
     /// How its tasks belong together.
-    pub form: Form,
+    #[serde(rename = "form")]
+    pub kind: JobKind,
     /// Its priority.
-    pub rank: Rank,
+    #[serde(rename = "rank")]
+    pub priority: Priority,
     /// How many tasks it has.
     #[serde(rename = "hands")]
     pub tasks: u32,
     /// Cores that a task takes.
     pub cores: f64,
     /// Accelerators that a task takes.
-    pub cards: f64,
+    #[serde(rename = "cards")]
+    pub gpus: f64,
     /// Memory that a task takes, in GB.
     #[serde(rename = "memGb")]
-    pub mem: f64,
+    pub memory_gb: f64,
     /// The image that a task needs.
     #[serde(rename = "deck")]
     pub image: String,
@@ -74,30 +78,32 @@
     pub image_gb: f64,
     /// The machine types that it allows; none: any.
     #[serde(default)]
-    pub builds: Option<Vec<String>>,
+    #[serde(rename = "builds")]
+    pub machine_types: Option<Vec<String>>,
     /// The only zone that it allows; none: any.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
     /// All tasks must be in the same zone.
     #[serde(rename = "oneZone")]
-    pub one_zone: bool,
+    pub single_zone: bool,
     /// At most half of the tasks may be in one zone.
-    pub apart: bool,
+    #[serde(rename = "apart")]
+    pub anti_affinity: bool,
     /// It may take machines that the cloud may take back.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// The owner's estimate of a task's run time, in seconds.
     #[serde(rename = "reckonS")]
-    pub estimate_s: f64,
+    pub estimated_run_time_s: f64,
     /// A task saves each so many seconds; 0: never.
     #[serde(rename = "markS")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// What a task needs to save when it is stopped, in seconds.
     #[serde(rename = "stowS")]
-    pub save_s: f64,
+    pub checkpoint_duration_s: f64,
     /// The deadline, in seconds from its submission.
     #[serde(rename = "dueS", default)]
-    pub due_s: Option<f64>,
+    pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts, each once.
     #[serde(
         rename = "hinges",
@@ -139,14 +145,16 @@
 }
 
 /// No list of types allows any.
-pub fn allows_build(builds: &Option<Vec<String>>, build: &str) -> bool {
-    builds.as_ref().is_none_or(|b| b.iter().any(|b| b == build))
+pub fn allows_build(machine_types: &Option<Vec<String>>, machine_type: &str) -> bool {
+    machine_types
+        .as_ref()
+        .is_none_or(|b| b.iter().any(|b| b == machine_type))
 }
 
 impl JobDesc {
     /// What a task takes.
     pub fn request(&self) -> Resources {
-        Resources::new(self.cores, self.cards, self.mem)
+        Resources::new(self.cores, self.gpus, self.memory_gb)
     }
 
     /// What is kept of it after its end.
@@ -165,10 +173,10 @@
     }
 
     /// Whether a machine of this type, zone and kind is one the job allows.
-    pub fn allows(&self, build: &str, zone: &str, spot: bool) -> bool {
+    pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
-            && allows_build(&self.builds, build)
+            && allows_build(&self.machine_types, machine_type)
     }
 
     /// Reads a submission; whatever is missing or invalid makes it malformed.
@@ -193,18 +201,18 @@
         }
         let amounts = [
             ("cores", job.cores),
-            ("cards", job.cards),
-            ("memGb", job.mem),
+            ("cards", job.gpus),
+            ("memGb", job.memory_gb),
             ("sizeGb", job.image_gb),
-            ("reckonS", job.estimate_s),
-            ("markS", job.checkpoint_s),
-            ("stowS", job.save_s),
-            ("dueS", job.due_s.unwrap_or(0.0)),
+            ("reckonS", job.estimated_run_time_s),
+            ("markS", job.checkpoint_interval_s),
+            ("stowS", job.checkpoint_duration_s),
+            ("dueS", job.deadline_s.unwrap_or(0.0)),
         ];
         if let Some((name, _)) = amounts.iter().find(|(_, a)| !a.is_finite() || *a < 0.0) {
             return bad(format!("{name} must be finite and not negative"));
         }
-        if job.cores == 0.0 && job.cards == 0.0 && job.mem == 0.0 {
+        if job.cores == 0.0 && job.gpus == 0.0 && job.memory_gb == 0.0 {
             return bad("a task must take something of its machine".into());
         }
         let names = [
@@ -221,7 +229,7 @@
     /// Whether its record fits into one value, with what stands beside it, now and under
     /// the coming limits: a record is written once and never split.
     pub(crate) fn recordable(&self, settings: &Settings) -> Result<(), Refusal> {
-        let most = settings.platform.state.lasting_value_bytes();
+        let most = settings.platform.state.lowest_value_bytes();
         let most = most.saturating_sub(RECORD_BYTES);
         let length = serde_json::to_string(self).map_or(0, |s| s.len());
         if length <= most {
@@ -247,7 +255,7 @@
         let Some(team) = settings.team(&self.team) else {
             return never(format!("unknown team {}", self.team));
         };
-        let together = if self.form == Form::Sweep {
+        let together = if self.kind == JobKind::Array {
             1
         } else {
             self.tasks
@@ -268,7 +276,7 @@
             return never("a task fits no allowed machine type".into());
         }
         // At most half of the tasks, rounded up, may be in one zone.
-        if self.apart && self.tasks > 1 && (self.one_zone || zones.len() < 2) {
+        if self.anti_affinity && self.tasks > 1 && (self.single_zone || zones.len() < 2) {
             return never("its tasks must be apart, but only one zone is allowed".into());
         }
         Ok(())
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -7,16 +7,16 @@
 pub mod ranges;
 mod records;
 
-pub use description::{Form, ImageKey, JobDesc, MOST_TASKS, Rank, Refusal, allows_build};
+pub use description::{ImageKey, JobDesc, JobKind, MOST_TASKS, Priority, Refusal, allows_build};
 pub use order::Urgency;
 pub use progress::page_tasks;
-pub use records::{EndedRecord, Footprint, JobRecord, ProgressRecord, Standing};
+pub use records::{EndedRecord, Footprint, JobRecord, JobState, ProgressRecord};
 
 use crate::clock::Micros;
 use crate::fairness::Resources;
 use crate::ids::{MachineId, Revision, Term};
 use crate::policy::JobChoice;
-use crate::store::{self, Cond, Op, cond, keys};
+use crate::store::{self, Compare, Mutation, compare, keys};
 use dependencies::{Inherited, Readiness};
 use ranges::RangeSet;
 use std::collections::{BTreeMap, BTreeSet};
@@ -39,10 +39,10 @@
     /// Its team's place in the settings.
     pub team: usize,
     /// Time of day at which it was accepted.
-    pub at: Micros,
+    pub accepted_at: Micros,
     /// Time of day from which its waiting counts: when it was accepted, or when the last
     /// job before it was done.
-    pub since: Micros,
+    pub eligible_since: Micros,
     /// All jobs before it are known to be done.
     ready: bool,
     /// The store's revision at which the last one of them was done.
@@ -52,7 +52,7 @@
     /// What it has from the jobs that need it.
     inherited: Option<Inherited>,
     /// The term of its team's block then.
-    pub born: Term,
+    pub accepted_term: Term,
     /// Of its record, which never changes while the job lives.
     pub revision: Revision,
     /// Finished tasks.
@@ -89,7 +89,7 @@
     /// Time of day at which a task of it last started, as far as is known here.
     pub last_start: Micros,
     /// Within what time its tasks should start, where an objective says so.
-    pub starts_within: Option<Micros>,
+    pub start_latency_objective: Option<Micros>,
     /// What the operators' policy says of it.
     pub choice: JobChoice,
     /// Whether its user allows spot machines, whatever the policy says now.
@@ -102,13 +102,13 @@
         Job {
             desc: Rc::new(rec.desc.clone()),
             team,
-            at: rec.at,
-            since: rec.at,
+            accepted_at: rec.accepted_at,
+            eligible_since: rec.accepted_at,
             ready: rec.desc.dependencies.is_empty(),
             ready_revision: Revision(0),
             behind_cancelled: false,
             inherited: None,
-            born: rec.born,
+            accepted_term: rec.accepted_term,
             revision,
             done: RangeSet::default(),
             waiting: RangeSet::full(rec.desc.tasks),
@@ -126,8 +126,8 @@
             failures: 0,
             not_before: Micros::ZERO,
             failed_on: BTreeSet::new(),
-            last_start: rec.at,
-            starts_within: None,
+            last_start: rec.accepted_at,
+            start_latency_objective: None,
             choice: JobChoice::default(),
             spot_once: rec.desc.spot,
         }
@@ -145,8 +145,10 @@
             Readiness::Ready(done) => {
                 self.ready = true;
                 self.ready_revision = done.revision;
-                self.since = self.at.max(done.day.unwrap_or(self.at));
-                self.last_start = self.last_start.max(self.since);
+                self.eligible_since = self
+                    .accepted_at
+                    .max(done.wall_clock.unwrap_or(self.accepted_at));
+                self.last_start = self.last_start.max(self.eligible_since);
             }
             Readiness::Waiting(_) => self.ready = false,
             Readiness::Cancelled => (self.ready, self.behind_cancelled) = (false, true),
@@ -174,7 +176,7 @@
     /// have started it: not if it was accepted after that, nor if the jobs before it were
     /// done only then, since that holder's lease was over.
     pub fn may_have_begun_before(&self, term: Term, granted: Revision) -> bool {
-        self.born < term && self.ready_revision <= granted
+        self.accepted_term < term && self.ready_revision <= granted
     }
 
     /// Whether it wants machines for tasks of it. Guards against a job that starts before
@@ -193,8 +195,8 @@
 
     /// Whether an earlier owner can have started it on such a machine. It may have had
     /// another policy.
-    pub fn may_have_been_on(&self, build: &str, zone: &str, spot: bool) -> bool {
-        (self.spot_once || !spot) && self.desc.allows(build, zone, spot && self.desc.spot)
+    pub fn may_have_been_on(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
+        (self.spot_once || !spot) && self.desc.allows(machine_type, zone, spot && self.desc.spot)
     }
 
     /// Whether its end is to be stored.
@@ -289,35 +291,35 @@
     }
 
     /// How it ends.
-    pub fn end_standing(&self) -> Standing {
+    pub fn end_standing(&self) -> JobState {
         if self.behind_cancelled {
-            Standing::Cancelled
+            JobState::Cancelled
         } else {
-            Standing::Done
+            JobState::Done
         }
     }
 
     /// The job's end, in one transaction of at most `most` changes. Pages that are left
     /// over are garbage, which the leader clears.
-    pub fn end_ops(&self, day: Micros, most: usize) -> (Vec<Cond>, Vec<Op>) {
+    pub fn end_ops(&self, wall_clock: Micros, most: usize) -> (Vec<Compare>, Vec<Mutation>) {
         let id = &self.desc.id;
         let ended = EndedRecord {
-            standing: self.end_standing(),
+            state: self.end_standing(),
             tasks: self.desc.tasks,
             footprint: Some(self.desc.footprint()),
-            at: Some(day),
+            ended_at: Some(wall_clock),
         };
-        let conds = vec![
-            cond(keys::job(id), self.revision),
-            cond(keys::ended(id), Revision(0)),
+        let compares = vec![
+            compare(keys::job(id), self.revision),
+            compare(keys::ended(id), Revision(0)),
         ];
-        let mut ops = vec![
+        let mut mutations = vec![
             store::delete(keys::job(id)),
-            store::set(keys::ended(id), &ended),
+            store::put(keys::ended(id), &ended),
         ];
         let pages = self.pages.keys().take(most.saturating_sub(2));
-        ops.extend(pages.map(|p| store::delete(keys::page(id, *p))));
-        (conds, ops)
+        mutations.extend(pages.map(|p| store::delete(keys::progress_page(id, *p))));
+        (compares, mutations)
     }
 }
 
--- a/src/jobs/progress.rs
+++ b/src/jobs/progress.rs
@@ -3,7 +3,7 @@
 use super::Job;
 use super::records::ProgressRecord;
 use crate::ids::{Label, Revision};
-use crate::store::{self, Cond, Op, cond, keys};
+use crate::store::{self, Compare, Mutation, compare, keys};
 
 /// Finished tasks are kept in pages of at most this many.
 const PAGE: u32 = 1024;
@@ -49,20 +49,24 @@
     }
 
     /// Progress since the last write, in at most `most` pages, and which those are.
-    pub fn progress_ops(&mut self, owner: &Label, most: usize) -> (Vec<Cond>, Vec<Op>, Vec<u32>) {
+    pub fn progress_ops(
+        &mut self,
+        owner: &Label,
+        most: usize,
+    ) -> (Vec<Compare>, Vec<Mutation>, Vec<u32>) {
         let id = self.desc.id.clone();
         if self.shown_running == self.running.is_empty() {
             self.dirty.insert(0);
         }
         // A late write of ours must not undo a later one: each page has its revision.
-        let mut conds = vec![cond(keys::job(&id), self.revision)];
-        let (mut ops, mut pages) = (Vec::new(), Vec::new());
-        while ops.len() < most {
+        let mut compares = vec![compare(keys::job(&id), self.revision)];
+        let (mut mutations, mut pages) = (Vec::new(), Vec::new());
+        while mutations.len() < most {
             let Some(page) = self.take_dirty_page() else {
                 break;
             };
             let records = self.page_records(page, owner);
-            if !ops.is_empty() && ops.len() + records.len() > most {
+            if !mutations.is_empty() && mutations.len() + records.len() > most {
                 self.dirty.insert(page);
                 self.next_page = page;
                 break;
@@ -75,17 +79,17 @@
                 self.dirty.insert(page);
             }
             for (number, rec) in records.into_iter().take(most) {
-                let key = keys::page(&id, number);
+                let key = keys::progress_page(&id, number);
                 let revision = self.pages.get(&number).copied().unwrap_or_default();
-                conds.push(cond(key.clone(), revision));
-                ops.push(store::set(key, &rec));
+                compares.push(compare(key.clone(), revision));
+                mutations.push(store::put(key, &rec));
                 pages.push(number);
             }
             if self.dirty.contains(&page) {
                 break;
             }
         }
-        (conds, ops, pages)
+        (compares, mutations, pages)
     }
 
     /// What is recorded of a page: one record, or more where it does not fit into a value.
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -4,7 +4,7 @@
 use crate::clock::Micros;
 use crate::fairness::Resources;
 use crate::ids::{Label, Term};
-use crate::store::Row;
+use crate::store::KeyValue;
 use serde::{Deserialize, Serialize};
 
 /// What the store keeps of a job that is not over. It never changes, so that
@@ -14,9 +14,11 @@
     /// What its user asked for.
     pub desc: JobDesc,
     /// Time of day at which it was accepted.
-    pub at: Micros,
+    #[serde(rename = "at")]
+    pub accepted_at: Micros,
     /// The term of its team's block then: no earlier holder can have run it.
-    pub born: Term,
+    #[serde(rename = "born")]
+    pub accepted_term: Term,
 }
 
 /// A page of a job's progress, written by its owner.
@@ -34,7 +36,7 @@
 /// How a job stands, as its user is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
+pub enum JobState {
     /// No task runs.
     Pending,
     /// A task runs.
@@ -58,7 +60,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndedRecord {
     /// How it ended.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub state: JobState,
     /// How many tasks it had.
     pub tasks: u32,
     /// For a later holder that finds an attempt of it still on a machine. Records of
@@ -68,13 +71,14 @@
     /// Time of day at which it ended, from which the times of jobs that need it count.
     /// Records of earlier versions lack it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub at: Option<Micros>,
+    #[serde(rename = "at")]
+    pub ended_at: Option<Micros>,
 }
 
 impl EndedRecord {
     /// The record that the store answered with. One that can't be read says nothing, least
     /// of all that the job is done.
-    pub fn read(row: &Row) -> Result<EndedRecord, serde_json::Error> {
+    pub fn read(row: &KeyValue) -> Result<EndedRecord, serde_json::Error> {
         EndedRecord::deserialize(&row.value)
     }
 }
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -22,8 +22,8 @@
 pub fn rec(id: &str, tasks: u32, born: Term) -> JobRecord {
     JobRecord {
         desc: desc(id, tasks),
-        at: Micros(0),
-        born,
+        accepted_at: Micros(0),
+        accepted_term: born,
     }
 }
 
@@ -88,24 +88,28 @@
     };
     assert!(check(&|d| d.team = "green".into()));
     assert!(check(&|d| d.cores = 17.0));
-    assert!(check(&|d| d.mem = 65.0));
+    assert!(check(&|d| d.memory_gb = 65.0));
     assert!(check(&|d| d.zone = Some("nowhere".into())));
-    assert!(check(&|d| d.builds = Some(vec![])));
+    assert!(check(&|d| d.machine_types = Some(vec![])));
     assert!(check(&|d| d.class = "x".repeat(17_000)));
     assert!(check(&|d| {
         d.zone = Some("y".into());
         d.cores = 8.0;
     }));
-    assert!(check(&|d| d.builds = Some(vec!["huge".into()])));
+    assert!(check(&|d| d.machine_types = Some(vec!["huge".into()])));
     // Apart, and yet in one zone: by its own words, or since no other has the type.
-    assert!(check(&|d| (d.apart, d.one_zone) = (true, true)));
-    assert!(check(&|d| (d.apart, d.zone) = (true, Some("x".into()))));
+    assert!(check(&|d| (d.anti_affinity, d.single_zone) = (true, true)));
     assert!(check(
-        &|d| (d.apart, d.builds) = (true, Some(vec!["big".into()]))
+        &|d| (d.anti_affinity, d.zone) = (true, Some("x".into()))
+    ));
+    assert!(check(
+        &|d| (d.anti_affinity, d.machine_types) = (true, Some(vec!["big".into()]))
+    ));
+    assert!(check(&|d| (d.anti_affinity, d.cores) = (true, 8.0)));
+    assert!(!check(&|d| d.anti_affinity = true));
+    assert!(!check(
+        &|d| (d.anti_affinity, d.single_zone, d.tasks) = (true, true, 1)
     ));
-    assert!(check(&|d| (d.apart, d.cores) = (true, 8.0)));
-    assert!(!check(&|d| d.apart = true));
-    assert!(!check(&|d| (d.apart, d.one_zone, d.tasks) = (true, true, 1)));
 }
 
 #[test]
@@ -123,10 +127,10 @@
             .step_by(page as usize)
             .any(|i| job.is_dirty(i))
         {
-            let (conds, ops, pages) = job.progress_ops(&Label::from("c0"), 7);
-            assert!(ops.len() <= 7 && conds.len() == ops.len() + 1);
-            for (op, page) in ops.into_iter().zip(pages) {
-                let Op::Set { value, .. } = op else {
+            let (compares, mutations, pages) = job.progress_ops(&Label::from("c0"), 7);
+            assert!(mutations.len() <= 7 && compares.len() == mutations.len() + 1);
+            for (op, page) in mutations.into_iter().zip(pages) {
+                let Mutation::Set { value, .. } = op else {
                     panic!("only sets")
                 };
                 largest = largest.max(value.to_string().len());
@@ -147,11 +151,11 @@
     assert!(job.finish(1) && !job.finish(1));
     job.page_changed(0, Revision(5));
     assert!(job.all_done() && job.wants_write(Micros(1)));
-    let (conds, ops) = job.end_ops(Micros(7), 3);
-    assert_eq!(ops[0], store::delete("r/jobs/j-1".into()));
-    assert!(matches!(&ops[1], Op::Set { key, .. } if key == "ended/j-1"));
-    assert_eq!(ops[2], store::delete("r/done/j-1/0000".into()));
-    assert_eq!(conds[0], cond("r/jobs/j-1".into(), Revision(1)));
+    let (compares, mutations) = job.end_ops(Micros(7), 3);
+    assert_eq!(mutations[0], store::delete("r/jobs/j-1".into()));
+    assert!(matches!(&mutations[1], Mutation::Set { key, .. } if key == "ended/j-1"));
+    assert_eq!(mutations[2], store::delete("r/done/j-1/0000".into()));
+    assert_eq!(compares[0], compare("r/jobs/j-1".into(), Revision(1)));
     assert_eq!(
         job.end_ops(Micros(7), 2).1.len(),
         2,
@@ -164,8 +168,8 @@
 fn small_jobs_without_a_deadline_pass_large_ones_and_all_have_their_turn() {
     let job = |tasks: u32, at: f64| {
         let mut record = rec("j-1", tasks, Term(1));
-        record.at = Micros::from_secs(at);
-        record.desc.due_s = None;
+        record.accepted_at = Micros::from_secs(at);
+        record.desc.deadline_s = None;
         Job::new(&record, Revision(1), 0, 64)
     };
     let now = Micros::from_secs(100.0);
@@ -177,14 +181,14 @@
     );
     // Where the class is to start within a time, the oldest comes first, as ever.
     let to_start = |mut job: Job| {
-        job.starts_within = Some(Micros::from_secs(70.0));
+        job.start_latency_objective = Some(Micros::from_secs(70.0));
         job.urgency(now)
     };
     assert!(to_start(job(25_000, 10.0)) < to_start(job(1, 90.0)));
     // With a deadline that can be kept it comes before both, and after them if lost.
     let due = |due_s: f64| {
         let mut job = job(4, 10.0);
-        Rc::make_mut(&mut job.desc).due_s = Some(due_s);
+        Rc::make_mut(&mut job.desc).deadline_s = Some(due_s);
         job.urgency(now)
     };
     assert!(due(200.0) < to_start(job(1, 90.0)));
@@ -195,13 +199,13 @@
 fn the_operators_choice_narrows_what_a_job_allows_and_orders_it() {
     let rec = |d: JobDesc| JobRecord {
         desc: d,
-        at: Micros::ZERO,
-        born: Term(1),
+        accepted_at: Micros::ZERO,
+        accepted_term: Term(1),
     };
     let job = |spot: bool, choice: JobChoice| {
         let mut d = desc("j-1", 4);
         d.spot = spot;
-        d.due_s = Some(60.0);
+        d.deadline_s = Some(60.0);
         let mut job = Job::new(&rec(d), Revision(1), 0, 64);
         job.choose(choice);
         job
@@ -265,11 +269,11 @@
     let mut later = Job::new(&rec("j-1", tasks, Term(1)), Revision(1), 0, page);
     let mut numbers = std::collections::BTreeSet::new();
     for _ in 0..3 {
-        let (conds, ops, written) = job.progress_ops(&Label::from("dealer-0"), 5);
-        assert!(ops.len() <= 5 && conds.len() == ops.len() + 1);
-        assert_eq!(ops.len(), written.len());
-        for (op, number) in ops.into_iter().zip(written) {
-            let Op::Set { value, .. } = op else {
+        let (compares, mutations, written) = job.progress_ops(&Label::from("dealer-0"), 5);
+        assert!(mutations.len() <= 5 && compares.len() == mutations.len() + 1);
+        assert_eq!(mutations.len(), written.len());
+        for (op, number) in mutations.into_iter().zip(written) {
+            let Mutation::Set { value, .. } = op else {
                 panic!("only sets")
             };
             assert!(value.to_string().len() <= value_bytes);
@@ -295,7 +299,7 @@
     assert!(!job.wants_machines(), "until it is known");
     let at = Micros::from_secs(90.0);
     let done = dependencies::DoneAt {
-        day: Some(at),
+        wall_clock: Some(at),
         revision: Revision(70),
     };
     assert!(job.set_readiness(&Readiness::Ready(done)));
@@ -305,14 +309,14 @@
     assert!(!job.may_have_begun_before(Term(2), Revision(69)));
     assert!(!job.may_have_begun_before(Term(1), Revision(70)));
     assert!(job.wants_machines());
-    assert_eq!((job.since, job.last_start), (at, at));
+    assert_eq!((job.eligible_since, job.last_start), (at, at));
     // The deadline counts from the submission all the same.
     assert_eq!(job.due(), Some(Micros::from_secs(60.0)));
     // Behind a cancelled one it ends as cancelled, without a task.
     assert!(job.set_readiness(&Readiness::Cancelled));
     assert!(!job.wants_machines() && job.wants_write(at) && !job.all_done());
-    let (_, ops) = job.end_ops(at, 5);
-    let Op::Set { value, .. } = &ops[1] else {
+    let (_, mutations) = job.end_ops(at, 5);
+    let Mutation::Set { value, .. } = &mutations[1] else {
         panic!("its end")
     };
     assert_eq!(value["standing"], "cancelled");
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,16 +9,17 @@
 pub use rockdeal_types::{clock, ids};
 
 pub mod api;
-pub mod blocks;
 pub mod controller;
 pub mod fairness;
 pub mod fleet;
 pub mod jobs;
 pub mod mesh;
+pub mod partitions;
 pub mod placement;
 pub mod policy;
 pub mod settings;
 pub mod store;
 pub mod subsystems;
+pub mod watch_cache;
 pub mod workers;
 pub mod zones;
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -4,8 +4,8 @@
 //! or repeated frame does no harm.
 
 use crate::clock::Micros;
-use crate::ids::{BlockId, JobId, Label, MachineId, Revision, Term};
-use crate::placement::Need;
+use crate::ids::{JobId, Label, MachineId, PartitionId, Revision, Term};
+use crate::placement::CapacityRequest;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use serde::{Deserialize, Serialize};
@@ -23,33 +23,33 @@
 
 /// What a holder tells of a block.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct BlockState {
+pub struct PartitionState {
     /// When it was received, by the receiver's clock.
     #[serde(skip)]
-    pub at: Micros,
+    pub received_at: Micros,
     /// Which block.
-    pub block: BlockId,
+    pub partition: PartitionId,
     /// The term of its grant.
     pub term: Term,
     /// The room that its waiting work lacks.
-    pub needs: Vec<Need>,
+    pub capacity_requests: Vec<CapacityRequest>,
     /// Machines that should be returned.
-    pub dead: Vec<MachineId>,
+    pub releasable_machines: Vec<MachineId>,
 }
 
 /// What a controller tells of itself, every so often.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerState {
     /// Who tells it.
-    pub from: Label,
+    pub sender: Label,
     /// Which incarnation of it.
     pub incarnation: Revision,
     /// It reaches the state service.
-    pub store_ok: bool,
+    pub store_reachable: bool,
     /// False: it hears none of its machines.
-    pub hears_workers: bool,
+    pub workers_reachable: bool,
     /// The blocks that it holds.
-    pub blocks: Vec<BlockState>,
+    pub partitions: Vec<PartitionState>,
 }
 
 /// What controllers tell each other.
--- a/src/mesh/tests.rs
+++ b/src/mesh/tests.rs
@@ -3,16 +3,16 @@
 #[test]
 fn frames_round_trip_and_other_versions_are_skipped() {
     let news = PeerState {
-        from: "c0".into(),
+        sender: "c0".into(),
         incarnation: Revision(3),
-        store_ok: true,
-        hears_workers: true,
-        blocks: vec![BlockState {
-            at: Micros(0),
-            block: BlockId(1),
+        store_reachable: true,
+        workers_reachable: true,
+        partitions: vec![PartitionState {
+            received_at: Micros(0),
+            partition: PartitionId(1),
             term: Term(4),
-            needs: vec![],
-            dead: vec!["m-1".into()],
+            capacity_requests: vec![],
+            releasable_machines: vec!["m-1".into()],
         }],
     };
     let cancelled = Message::Cancelled {
@@ -53,29 +53,29 @@
     let block = format!("ac02 f0a204 01 {need} 02 036d2d31 036d2d32");
     let state = round_trip(&format!("02 00 026331 ac02 00 01 02 {block} 00 00 00 00"));
     let request = crate::fairness::Resources::new(2.5, 1.0, 16.0);
-    let needs = vec![Need {
+    let needs = vec![CapacityRequest {
         request,
-        builds: None,
+        machine_types: None,
         zone: None,
         spot: false,
         count: 300,
-        estimate_s: 0.5,
+        estimated_run_time_s: 0.5,
         waited_long: false,
     }];
-    let block = |block, term, needs, dead| BlockState {
-        at: Micros::ZERO,
-        block: BlockId(block),
+    let block = |block, term, needs, dead| PartitionState {
+        received_at: Micros::ZERO,
+        partition: PartitionId(block),
         term: Term(term),
-        needs,
-        dead,
+        capacity_requests: needs,
+        releasable_machines: dead,
     };
     let full = block(300, 70_000, needs, vec!["m-1".into(), "m-2".into()]);
     let expected = PeerState {
-        from: "c1".into(),
+        sender: "c1".into(),
         incarnation: Revision(300),
-        store_ok: false,
-        hears_workers: true,
-        blocks: vec![full, block(0, 0, vec![], vec![])],
+        store_reachable: false,
+        workers_reachable: true,
+        partitions: vec![full, block(0, 0, vec![], vec![])],
     };
     assert_eq!(state, Message::PeerState(expected));
     let cancelled = Message::Cancelled {
--- a/src/blocks/leader/tests.rs
+++ b/src/partitions/leader/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
-use crate::blocks::{FormatLevel, LeaderRecord, MemberRecord};
 use crate::ids::LeaseId;
+use crate::partitions::{FormatLevel, LeaderRecord, MemberRecord};
 use crate::settings::tests::settings;
 
-fn mirror(members: &[(&str, u64)]) -> Mirror {
-    let mut m = Mirror {
+fn cache(members: &[(&str, u64)]) -> WatchCache {
+    let mut m = WatchCache {
         loaded: true,
-        ..Mirror::default()
+        ..WatchCache::default()
     };
     m.leader = Some((
         Revision(5),
         LeaderRecord {
-            holder: Label::from("c0"),
+            leader: Label::from("c0"),
             incarnation: Revision(1),
         },
     ));
@@ -29,18 +29,19 @@
 }
 
 fn try_grants(
-    m: &Mirror,
+    m: &WatchCache,
     blocks: u64,
     fit: &dyn Fn(&Label) -> bool,
-) -> Option<(Vec<Cond>, Vec<Op>)> {
+) -> Option<(Vec<Compare>, Vec<Mutation>)> {
     let leader = as_leader(m, &settings().label, Some(Revision(1)))?;
     grants(m, leader, &settings(), blocks, fit)
 }
 
-fn granted(ops: &[Op]) -> Vec<(String, HolderRecord)> {
-    ops.iter()
+fn granted(mutations: &[Mutation]) -> Vec<(String, PartitionOwnerRecord)> {
+    mutations
+        .iter()
         .filter_map(|op| match op {
-            Op::Set { key, value, .. } if key.ends_with("holder") => Some((
+            Mutation::Set { key, value, .. } if key.ends_with("holder") => Some((
                 key.clone(),
                 serde_json::from_value(value.clone()).expect("a holder"),
             )),
@@ -51,54 +52,54 @@
 
 #[test]
 fn every_block_goes_to_a_living_member_under_its_own_new_term() {
-    let m = mirror(&[("c0", 1), ("c1", 2)]);
-    let (conds, ops) = try_grants(&m, 2, &|_| true).expect("grants");
-    let g = granted(&ops);
+    let m = cache(&[("c0", 1), ("c1", 2)]);
+    let (compares, mutations) = try_grants(&m, 2, &|_| true).expect("grants");
+    let g = granted(&mutations);
     assert_eq!(g.len(), 2);
-    assert_ne!(g[0].1.holder, g[1].1.holder);
+    assert_ne!(g[0].1.owner, g[1].1.owner);
     assert_eq!((g[0].1.term, g[1].1.term), (Term(10), Term(11)));
-    assert!(conds.contains(&cond("r/leader".into(), Revision(5))));
-    assert!(conds.contains(&cond("r/term".into(), Revision(4))));
-    assert!(conds.contains(&cond("r/members/c1".into(), Revision(2))));
+    assert!(compares.contains(&compare("r/leader".into(), Revision(5))));
+    assert!(compares.contains(&compare("r/term".into(), Revision(4))));
+    assert!(compares.contains(&compare("r/members/c1".into(), Revision(2))));
     let teams: Vec<_> = g.iter().flat_map(|(_, r)| r.teams.clone()).collect();
     assert_eq!(teams, vec!["red", "blue"], "each team in exactly one block");
 }
 
 #[test]
 fn a_dead_holders_block_goes_whole_to_a_survivor_and_keeps_its_teams() {
-    let mut m = mirror(&[("c0", 1), ("c1", 20)]);
+    let mut m = cache(&[("c0", 1), ("c1", 20)]);
     // c1 came back as a new incarnation: its old grant is void.
-    let old = HolderRecord {
-        holder: "c1".into(),
+    let old = PartitionOwnerRecord {
+        owner: "c1".into(),
         incarnation: Revision(2),
         term: Term(7),
         teams: vec!["red".into(), "blue".into()],
     };
-    m.holders.insert(BlockId(0), (Revision(8), old));
-    let (conds, ops) = try_grants(&m, 1, &|l| l.as_str() == "c0").expect("grants");
-    let g = granted(&ops);
+    m.holders.insert(PartitionId(0), (Revision(8), old));
+    let (compares, mutations) = try_grants(&m, 1, &|l| l.as_str() == "c0").expect("grants");
+    let g = granted(&mutations);
     assert_eq!(
-        (g[0].1.holder.as_str(), g[0].1.term, g[0].1.teams.len()),
+        (g[0].1.owner.as_str(), g[0].1.term, g[0].1.teams.len()),
         ("c0", Term(10), 2)
     );
-    assert!(conds.contains(&cond("r/blocks/0/holder".into(), Revision(8))));
+    assert!(compares.contains(&compare("r/blocks/0/holder".into(), Revision(8))));
 }
 
 #[test]
 fn only_the_leader_grants_and_a_living_holder_keeps_its_block() {
-    let mut m = mirror(&[("c0", 1)]);
-    let held = HolderRecord {
-        holder: "c0".into(),
+    let mut m = cache(&[("c0", 1)]);
+    let held = PartitionOwnerRecord {
+        owner: "c0".into(),
         incarnation: Revision(1),
         term: Term(7),
         teams: vec![],
     };
-    m.holders.insert(BlockId(0), (Revision(8), held));
+    m.holders.insert(PartitionId(0), (Revision(8), held));
     assert_eq!(try_grants(&m, 1, &|_| true), None);
     m.leader = Some((
         Revision(6),
         LeaderRecord {
-            holder: "c1".into(),
+            leader: "c1".into(),
             incarnation: Revision(2),
         },
     ));
@@ -107,21 +108,21 @@
 }
 #[test]
 fn who_handed_a_block_back_does_not_get_it_again_while_others_are_in() {
-    let mut m = mirror(&[("c0", 1), ("c1", 2)]);
-    let back = HolderRecord {
-        holder: "c1".into(),
+    let mut m = cache(&[("c0", 1), ("c1", 2)]);
+    let back = PartitionOwnerRecord {
+        owner: "c1".into(),
         incarnation: Revision(0),
         term: Term(7),
         teams: vec!["red".into(), "blue".into()],
     };
-    m.holders.insert(BlockId(0), (Revision(8), back));
+    m.holders.insert(PartitionId(0), (Revision(8), back));
     // Nobody is heard by the leader just now.
-    let (_, ops) = try_grants(&m, 1, &|_| false).expect("grants");
-    assert_eq!(granted(&ops)[0].1.holder.as_str(), "c0");
+    let (_, mutations) = try_grants(&m, 1, &|_| false).expect("grants");
+    assert_eq!(granted(&mutations)[0].1.owner.as_str(), "c0");
     m.members.remove(&"c0".into());
-    let (_, ops) = try_grants(&m, 1, &|_| false).expect("grants");
+    let (_, mutations) = try_grants(&m, 1, &|_| false).expect("grants");
     assert_eq!(
-        granted(&ops)[0].1.holder.as_str(),
+        granted(&mutations)[0].1.owner.as_str(),
         "c1",
         "better than nobody"
     );
@@ -131,14 +132,14 @@
 /// came next, and each time all of its machines had to report anew.
 #[test]
 fn among_equals_a_block_goes_to_the_member_with_the_newest_version() {
-    let mut m = mirror(&[("c0", 1), ("c1", 2), ("c2", 3), ("c3", 4)]);
+    let mut m = cache(&[("c0", 1), ("c1", 2), ("c2", 3), ("c3", 4)]);
     for old in ["c1", "c3"] {
         let (_, member) = m.members.get_mut(&Label::from(old)).expect("a member");
         member.format = FormatLevel::default();
     }
     let holder = |fit: &dyn Fn(&Label) -> bool| {
-        let (_, ops) = try_grants(&m, 1, fit).expect("a grant");
-        granted(&ops)[0].1.holder.clone()
+        let (_, mutations) = try_grants(&m, 1, fit).expect("a grant");
+        granted(&mutations)[0].1.owner.clone()
     };
     assert_eq!(holder(&|_| true), "c2".into());
     let only_old = |l: &Label| l.as_str() == "c1" || l.as_str() == "c3";
--- a/src/blocks/lease.rs
+++ b/src/partitions/lease.rs
@@ -36,8 +36,8 @@
         }
         self.out = Some(now);
         Some(match self.lease_id {
-            Some(lease_id) => Request::Renew { lease_id },
-            None => Request::NewLease { life: self.life },
+            Some(lease_id) => Request::RenewLease { lease_id },
+            None => Request::GrantLease { ttl: self.life },
         })
     }
 
@@ -46,15 +46,15 @@
         let sent = self.out.take().unwrap_or(now);
         self.not_before = now + AGAIN;
         match reply {
-            Reply::Leased(lease_id) => {
+            Reply::LeaseGranted(lease_id) => {
                 self.lease_id = Some(*lease_id);
                 self.renewed = sent;
             }
-            Reply::Done => {
+            Reply::Acknowledged => {
                 self.renewed = sent;
                 self.not_before = now + Micros(self.life.0 / 4);
             }
-            Reply::LeaseGone => {
+            Reply::LeaseExpired => {
                 self.lease_id = None;
                 self.not_before = now;
             }
--- a/src/blocks/lease/tests.rs
+++ b/src/partitions/lease/tests.rs
@@ -4,8 +4,8 @@
 fn a_lease_that_ended_is_taken_anew() {
     let mut l = Lease::new(Micros::from_secs(6.0));
     let t = Micros::from_secs(1.0);
-    assert!(matches!(l.step(t), Some(Request::NewLease { .. })));
-    l.reply(t, &Reply::Leased(LeaseId(3)));
+    assert!(matches!(l.step(t), Some(Request::GrantLease { .. })));
+    l.reply(t, &Reply::LeaseGranted(LeaseId(3)));
     assert_eq!(l.alive(t), Some(LeaseId(3)));
     assert_eq!(
         l.alive(Micros::from_secs(6.0)),
@@ -15,11 +15,11 @@
     let t = Micros::from_secs(2.0);
     assert_eq!(
         l.step(t),
-        Some(Request::Renew {
+        Some(Request::RenewLease {
             lease_id: LeaseId(3)
         })
     );
-    l.reply(t, &Reply::LeaseGone);
+    l.reply(t, &Reply::LeaseExpired);
     assert_eq!(l.alive(t), None);
-    assert!(matches!(l.step(t), Some(Request::NewLease { .. })));
+    assert!(matches!(l.step(t), Some(Request::GrantLease { .. })));
 }
--- a/src/blocks/member.rs
+++ b/src/partitions/membership.rs
@@ -3,7 +3,7 @@
 use super::{FormatLevel, MemberRecord};
 use crate::clock::Micros;
 use crate::ids::{Label, LeaseId, Revision};
-use crate::store::{self, Reply, Request, cond, keys};
+use crate::store::{self, Reply, Request, compare, keys};
 
 #[derive(Debug, Clone, PartialEq)]
 enum State {
@@ -24,11 +24,11 @@
 
 /// This controller's membership.
 #[derive(Debug)]
-pub struct Member {
+pub struct Membership {
     label: Label,
     addr: String,
     lease: Micros,
-    act_for: Micros,
+    lease_validity: Micros,
     state: State,
     /// When the request that is out was sent.
     out: Option<Micros>,
@@ -37,14 +37,14 @@
 
 const AGAIN: Micros = Micros::from_millis(300);
 
-impl Member {
+impl Membership {
     /// Not a member yet. `act_for` is how long it may act after a renewal or a reading.
-    pub fn new(label: Label, addr: String, lease: Micros, act_for: Micros) -> Self {
-        Member {
+    pub fn new(label: Label, addr: String, lease: Micros, lease_validity: Micros) -> Self {
+        Membership {
             label,
             addr,
             lease,
-            act_for,
+            lease_validity,
             state: State::Start,
             out: None,
             not_before: Micros::ZERO,
@@ -60,10 +60,10 @@
             State::Start => Request::Get {
                 key: keys::member(&self.label),
             },
-            State::Ending(lease_id) => Request::EndLease {
+            State::Ending(lease_id) => Request::RevokeLease {
                 lease_id: *lease_id,
             },
-            State::Leasing => Request::NewLease { life: self.lease },
+            State::Leasing => Request::GrantLease { ttl: self.lease },
             State::Registering { lease_id, .. } => {
                 let rec = MemberRecord {
                     addr: self.addr.clone(),
@@ -71,12 +71,12 @@
                     format: FormatLevel::NEWEST,
                 };
                 let key = keys::member(&self.label);
-                Request::Txn {
-                    conds: vec![cond(key.clone(), Revision(0))],
-                    ops: vec![store::set_leased(key, &rec, *lease_id)],
+                Request::CompareAndSwap {
+                    compares: vec![compare(key.clone(), Revision(0))],
+                    mutations: vec![store::put_with_lease(key, &rec, *lease_id)],
                 }
             }
-            State::In { lease_id, .. } => Request::Renew {
+            State::In { lease_id, .. } => Request::RenewLease {
                 lease_id: *lease_id,
             },
         };
@@ -89,17 +89,17 @@
         let sent = self.out.take().unwrap_or(now);
         self.not_before = now;
         self.state = match (&self.state, reply) {
-            (State::Start, Reply::Missing) => State::Leasing,
+            (State::Start, Reply::NotFound) => State::Leasing,
             // The process that registered this is dead, since it was us: nobody
             // needs to wait for its lease.
-            (State::Start, Reply::Found(row)) => {
+            (State::Start, Reply::Value(row)) => {
                 match serde_json::from_value::<MemberRecord>(row.value.clone()) {
                     Ok(rec) => State::Ending(rec.lease_id),
                     Err(_) => State::Leasing,
                 }
             }
-            (State::Ending(_), Reply::Done | Reply::LeaseGone) => State::Start,
-            (State::Leasing, Reply::Leased(lease_id)) => State::Registering {
+            (State::Ending(_), Reply::Acknowledged | Reply::LeaseExpired) => State::Start,
+            (State::Leasing, Reply::LeaseGranted(lease_id)) => State::Registering {
                 lease_id: *lease_id,
                 leased: sent,
             },
@@ -109,17 +109,18 @@
                 renewed: *leased,
             },
             // No answer to the registration, or our own late one: look again.
-            (State::Registering { .. }, Reply::Unknown | Reply::Conflict(_) | Reply::LeaseGone) => {
-                State::Start
-            }
-            (State::In { .. }, Reply::LeaseGone) => State::Start,
+            (
+                State::Registering { .. },
+                Reply::Indeterminate | Reply::Conflict(_) | Reply::LeaseExpired,
+            ) => State::Start,
+            (State::In { .. }, Reply::LeaseExpired) => State::Start,
             (
                 State::In {
                     lease_id,
                     incarnation,
                     ..
                 },
-                Reply::Done,
+                Reply::Acknowledged,
             ) => {
                 self.not_before = now + Micros(self.lease.0 / 6);
                 // From when it was sent: the store may have counted from then on.
@@ -157,7 +158,7 @@
     /// hear of cancellations must stop as well.
     pub fn acts_until(&self, read: Micros) -> Micros {
         match self.state {
-            State::In { renewed, .. } => renewed.min(read) + self.act_for,
+            State::In { renewed, .. } => renewed.min(read) + self.lease_validity,
             _ => Micros::ZERO,
         }
     }
--- a/src/blocks/member/tests.rs
+++ b/src/partitions/membership/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::store::Row;
+use crate::store::KeyValue;
 
-fn member() -> Member {
-    Member::new(
+fn member() -> Membership {
+    Membership::new(
         Label::from("c0"),
         "a:1".into(),
         Micros::from_secs(12.0),
@@ -10,11 +10,11 @@
     )
 }
 
-fn join(m: &mut Member, now: Micros) {
+fn join(m: &mut Membership, now: Micros) {
     m.step(now).expect("a look");
-    m.reply(now, &Reply::Missing);
+    m.reply(now, &Reply::NotFound);
     m.step(now).expect("a lease");
-    m.reply(now, &Reply::Leased(LeaseId(7)));
+    m.reply(now, &Reply::LeaseGranted(LeaseId(7)));
     m.step(now).expect("a registration");
     m.reply(now, &Reply::Committed(Revision(42)));
 }
@@ -26,7 +26,7 @@
     let value = serde_json::json!({"addr": "a:1", "tenure": 3});
     m.reply(
         Micros(2),
-        &Reply::Found(Row {
+        &Reply::Value(KeyValue {
             key: "r/members/c0".into(),
             value,
             revision: Revision(9),
@@ -34,11 +34,11 @@
     );
     assert_eq!(
         m.step(Micros(3)),
-        Some(Request::EndLease {
+        Some(Request::RevokeLease {
             lease_id: LeaseId(3)
         })
     );
-    m.reply(Micros(4), &Reply::Done);
+    m.reply(Micros(4), &Reply::Acknowledged);
     join(&mut m, Micros(5));
     assert_eq!(m.incarnation(), Some(Revision(42)));
 }
@@ -50,7 +50,7 @@
     join(&mut m, t);
     assert_eq!(m.acts_until(t), Micros::from_secs(12.0));
     m.step(Micros::from_secs(5.0));
-    m.reply(Micros::from_secs(7.0), &Reply::Done);
+    m.reply(Micros::from_secs(7.0), &Reply::Acknowledged);
     assert_eq!(
         m.acts_until(Micros::from_secs(30.0)),
         Micros::from_secs(16.0)
@@ -68,13 +68,13 @@
     let t = Micros::from_secs(1.0);
     join(&mut m, t);
     m.step(Micros::from_secs(5.0));
-    m.reply(Micros::from_secs(7.0), &Reply::Unknown);
+    m.reply(Micros::from_secs(7.0), &Reply::Indeterminate);
     assert_eq!(
         m.acts_until(Micros::from_secs(30.0)),
         Micros::from_secs(12.0)
     );
     m.step(Micros::from_secs(8.0)).expect("again");
-    m.reply(Micros::from_secs(8.0), &Reply::LeaseGone);
+    m.reply(Micros::from_secs(8.0), &Reply::LeaseExpired);
     assert_eq!(
         (m.incarnation(), m.acts_until(Micros::from_secs(8.0))),
         (None, Micros::ZERO)
--- a/src/blocks/mod.rs
+++ b/src/partitions/mod.rs
@@ -1,12 +1,12 @@
 //! Blocks of machines: who leads, who holds which block, under which term.
 
-pub mod holder;
 pub mod leader;
 pub mod lease;
-pub mod member;
+pub mod membership;
+pub mod owner;
 
-use crate::ids::{BlockId, Label, LeaseId, MachineId, Revision, Term};
-use crate::store::{self, Cond, Op, cond, keys};
+use crate::ids::{Label, LeaseId, MachineId, PartitionId, Revision, Term};
+use crate::store::{self, Compare, Mutation, compare, keys};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -60,7 +60,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// The leader's label.
-    pub holder: Label,
+    #[serde(rename = "holder")]
+    pub leader: Label,
     /// Of the holder, by its member key's revision: names given out under one
     /// leadership are never used by the next, even of the same controller.
     pub incarnation: Revision,
@@ -68,9 +69,10 @@
 
 /// Who holds a block. Valid while that incarnation's member lease lives.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct HolderRecord {
+pub struct PartitionOwnerRecord {
     /// The holder's label.
-    pub holder: Label,
+    #[serde(rename = "holder")]
+    pub owner: Label,
     /// Revision 0: handed back, nobody holds it.
     pub incarnation: Revision,
     /// The term of the grant.
@@ -82,7 +84,7 @@
 /// What a holder wants done with a machine that it gave up, idle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Freed {
+pub enum ReleaseReason {
     /// To another block.
     Move,
     /// Back to the cloud.
@@ -97,7 +99,7 @@
     pub addr: String,
     /// The machine's type.
     #[serde(rename = "b")]
-    pub build: String,
+    pub machine_type: String,
     /// The machine's zone.
     #[serde(rename = "z")]
     pub zone: String,
@@ -113,25 +115,25 @@
     pub used: bool,
     /// Given up by its holder, and what for.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
-    pub freed: Option<Freed>,
+    pub release_reason: Option<ReleaseReason>,
 }
 
 impl MachineRecord {
     /// About how long the record is as JSON, its name and later marks included.
     fn size(&self) -> usize {
-        self.build.len() + self.zone.len() + 100
+        self.machine_type.len() + self.zone.len() + 100
     }
 
     /// A machine that nothing was launched on yet.
-    pub fn blank(addr: String, build: &str, zone: &str, spot: bool) -> Self {
+    pub fn blank(addr: String, machine_type: &str, zone: &str, spot: bool) -> Self {
         MachineRecord {
             addr,
-            build: build.into(),
+            machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
             term: Term(0),
             used: false,
-            freed: None,
+            release_reason: None,
         }
     }
 }
@@ -178,20 +180,20 @@
 
 /// Writes a shard of a block in parts: the first in its place, the others under free numbers.
 pub fn write_parts(
-    block: BlockId,
+    block: PartitionId,
     (shard, revision): (u32, Revision),
     parts: Vec<MachinesRecord>,
     free: impl Iterator<Item = u32>,
-) -> (Vec<Cond>, Vec<Op>) {
+) -> (Vec<Compare>, Vec<Mutation>) {
     let further = free.map(|number| (number, Revision(0)));
     let places = std::iter::once((shard, revision)).chain(further);
-    let (mut conds, mut ops) = (Vec::new(), Vec::new());
+    let (mut compares, mut mutations) = (Vec::new(), Vec::new());
     for ((number, revision), part) in places.zip(parts) {
-        let key = keys::machines(block, number);
-        conds.push(cond(key.clone(), revision));
-        ops.push(store::set(key, &part));
+        let key = keys::shard(block, number);
+        compares.push(compare(key.clone(), revision));
+        mutations.push(store::put(key, &part));
     }
-    (conds, ops)
+    (compares, mutations)
 }
 
 /// What a shard may hold where a value holds so much.
@@ -205,9 +207,10 @@
 /// A rental that was decided, recorded before the cloud is asked: a successor
 /// repeats it under the same name instead of renting again.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RentalRecord {
+pub struct ScaleOutRecord {
     /// The type of the machines.
-    pub build: String,
+    #[serde(rename = "build")]
+    pub machine_type: String,
     /// Their zone.
     pub zone: String,
     /// Whether the cloud may take them back.
@@ -215,5 +218,6 @@
     /// How many.
     pub count: u32,
     /// The block that they are for.
-    pub block: BlockId,
+    #[serde(rename = "block")]
+    pub partition: PartitionId,
 }
--- a/src/blocks/holder/health.rs
+++ b/src/partitions/owner/health.rs
@@ -1,13 +1,13 @@
 //! Which machines are silent, can't be reached or fail, and whether the fault is ours.
 
-use super::Holder;
+use super::OwnedPartition;
 use crate::clock::Micros;
 use crate::ids::MachineId;
 use crate::workers::{Machine, Phase};
 
 const NEVER_HEARD: Micros = Micros::from_millis(180_000);
 
-impl Holder {
+impl OwnedPartition {
     pub(super) fn reports_of(&self, n: f64) -> Micros {
         Micros::from_secs(self.settings.platform.workers.report_s * n)
     }
@@ -26,8 +26,12 @@
     pub fn condemn(&mut self, dead: &[MachineId]) {
         for id in dead {
             // What was never heard may still be booting.
-            if let Some(m) = self.machines.get_mut(id).filter(|m| m.last_heard.is_some()) {
-                m.condemned |= !m.draining;
+            if let Some(m) = self
+                .machines
+                .get_mut(id)
+                .filter(|m| m.last_heard_at.is_some())
+            {
+                m.cordoned |= !m.draining;
                 m.draining = true;
             }
         }
@@ -38,7 +42,7 @@
         let known = self
             .machines
             .values()
-            .filter(|m| m.last_heard.is_some())
+            .filter(|m| m.last_heard_at.is_some())
             .count();
         // Guards against taking a standstill of our own for a cut: hear first.
         let since = self.last_heard.max(self.listening);
@@ -59,36 +63,47 @@
             self.silence(),
             Micros::from_millis(6_000).max(self.reports_of(1.6)),
         );
-        let silent = |m: &Machine| match m.last_heard {
-            Some(h) => now.since(h.max(listening).max(m.added)) > silence,
+        let silent = |m: &Machine| match m.last_heard_at {
+            Some(h) => now.since(h.max(listening).max(m.added_at)) > silence,
             // Old jobs wait for it, and a live one answers our direct command at once.
-            None if m.unconfirmed => now.since(m.added.max(listening)) > unconfirmed,
-            None => now.since(m.added) > NEVER_HEARD,
+            None if m.unconfirmed => now.since(m.added_at.max(listening)) > unconfirmed,
+            None => now.since(m.added_at) > NEVER_HEARD,
         };
         // Alive, but its reports reach nobody: it keeps what it has until its lease ends,
         // and is replaced as soon as it has nothing, or nothing to come of it.
         let lease = Micros::from_secs(self.settings.platform.workers.lease_s);
         let idle = |m: &Machine| m.attempts.values().all(|t| t.phase == Phase::Exited);
         let unheard = |m: &Machine| {
-            let since = m.last_report.unwrap_or(m.added).max(m.added).max(listening);
-            m.last_heard.is_some()
+            let since = m
+                .last_heartbeat_at
+                .unwrap_or(m.added_at)
+                .max(m.added_at)
+                .max(listening);
+            m.last_heard_at.is_some()
                 && now.since(since) > silence
-                && (idle(m) && m.quiet() || now.since(m.lease_from()) > lease)
+                && (idle(m) && m.has_no_command_in_transit()
+                    || now.since(m.lease_started_at()) > lease)
         };
         let failed = |m: &Machine| m.draining && idle(m);
         // Should so many be silent at once, the first to go show whether it is them.
         let most = 2 + self.machines.len() / 10;
         // And if so many do not hear us, it is we who are not heard.
-        let suspects = self.machines.values().filter(|m| m.suspect()).count() <= most;
+        let suspects = self
+            .machines
+            .values()
+            .filter(|m| m.is_unreachable())
+            .count()
+            <= most;
         // A machine that is silent with its zone waits for the zone's turn. Those that fail
         // by themselves do not.
         let withheld = |id: &MachineId, m: &Machine| {
-            let duties = self.zones.as_ref();
-            let with_zone = duties.is_some_and(|duties| duties.withholds(now, id, &m.zone));
+            let evacuation = self.zones.as_ref();
+            let with_zone =
+                evacuation.is_some_and(|evacuation| evacuation.withholds(now, id, &m.zone));
             with_zone && self.is_silent(now, m)
         };
         let dead = self.machines.iter().filter(|(id, m)| {
-            let dead = silent(m) || unheard(m) || suspects && m.suspect();
+            let dead = silent(m) || unheard(m) || suspects && m.is_unreachable();
             dead && !withheld(id, m) || failed(m)
         });
         dead.map(|(id, _)| id.clone()).take(most).collect()
--- a/src/blocks/holder/reports.rs
+++ b/src/partitions/owner/heartbeats.rs
@@ -1,87 +1,89 @@
 //! What machines report, and what follows from it.
 
-use super::{Effect, Holder, UnknownJob};
+use super::{Effect, OwnedPartition, UnknownJob};
 use crate::clock::Micros;
 use crate::fairness::Resources;
 use crate::ids::{JobId, MachineId};
 use crate::jobs::EndedRecord;
 use crate::store::Reply;
-use crate::workers::{Attempt, AttemptKey, Cause, Event, Leaving, Orders, Phase, Report};
+use crate::workers::{
+    Attempt, AttemptEvent, AttemptKey, Cause, Heartbeat, HeartbeatResponse, Phase, ReleaseState,
+};
 use std::collections::btree_map::Entry;
 
 /// Records of ended jobs that are read at once.
 const MOST_READS: usize = 4;
 const READ_AGAIN: Micros = Micros::from_millis(500);
 
-impl Holder {
+impl OwnedPartition {
     /// A worker's report. None: it gets no valid answer from us.
     pub fn check_in(
         &mut self,
         now: Micros,
-        day: Micros,
+        wall_clock: Micros,
         fleet: Resources,
         until: Micros,
-        r: &Report,
-    ) -> Option<Orders> {
+        r: &Heartbeat,
+    ) -> Option<HeartbeatResponse> {
         if self.resigns() {
             return None;
         }
         let counts = self.observe(now, r)?;
         if counts {
-            self.refill(now, day, fleet, &r.machine);
+            self.refill(now, wall_clock, fleet, &r.machine);
         }
         let m = self.machines.get_mut(&r.machine)?;
-        m.answered(now, r);
-        Some(Orders {
-            token: m.token(),
+        m.record_answer(now, r);
+        Some(HeartbeatResponse {
+            fencing_token: m.fencing_token(),
             // What does not count gets the token and nothing else: the next report
             // will show it.
-            orders: if counts { m.orders(true) } else { Vec::new() },
-            until,
+            commands: if counts { m.commands(true) } else { Vec::new() },
+            valid_until: until,
         })
     }
 
     /// Takes in a check-in's report. None: it must not be answered as valid;
     /// otherwise whether it counts.
-    fn observe(&mut self, now: Micros, r: &Report) -> Option<bool> {
+    fn observe(&mut self, now: Micros, r: &Heartbeat) -> Option<bool> {
         let m = self
             .machines
             .get_mut(&r.machine)
-            .filter(|m| m.leaving == Leaving::No)?;
-        if !m.newer(r) {
+            .filter(|m| m.release_state == ReleaseState::Active)?;
+        if !m.is_newer(r) {
             // A late copy is older than what is known: it says nothing, not even
             // that the machine lives.
-            m.uncounted(r);
+            m.record_uncounted_heartbeat(r);
             if m.needs_probe {
                 self.pending_commands.insert(r.machine.clone());
             }
             return None;
         }
-        if r.token > m.token() {
+        if r.fencing_token > m.fencing_token() {
             // Somebody holds this machine under a higher term: the worker would drop
             // our answer, and stay here while its lease runs out.
             return None;
         }
         if !m.shows_term(r) {
-            m.uncounted(r);
+            m.record_uncounted_heartbeat(r);
             self.to_open |= !m.used;
             return Some(false);
         }
         self.to_open |= !m.used;
-        m.last_report = Some(now);
+        m.last_heartbeat_at = Some(now);
         self.last_report = now;
         self.take_in(now, r);
         Some(true)
     }
 
     /// A report that counts.
-    fn take_in(&mut self, now: Micros, r: &Report) {
+    fn take_in(&mut self, now: Micros, r: &Heartbeat) {
         self.last_heard = now;
         let Some(m) = self.machines.get_mut(&r.machine) else {
             return;
         };
         let was_unconfirmed = m.unconfirmed;
-        let events = m.observe(now, r);
+        let events = m.reconcile(now, r);
         let changed = was_unconfirmed || !events.is_empty();
         for event in events {
             self.event(now, &r.machine, event);
@@ -93,33 +95,33 @@
     }
 
     /// The answer to a `/do`, or none.
-    pub fn direct_answer(&mut self, now: Micros, id: &MachineId, answer: Option<Report>) {
+    pub fn direct_answer(&mut self, now: Micros, id: &MachineId, answer: Option<Heartbeat>) {
         self.directs_out = self.directs_out.saturating_sub(1);
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
         let Some(r) = answer.filter(|r| r.machine == *id) else {
-            m.direct_lost();
+            m.direct_command_lost();
             return;
         };
-        m.direct_out = false;
+        m.direct_command_in_flight = false;
         m.needs_probe = false;
         m.unsent_commands = 0;
         // Refused for its session: send again under the right one. A higher
         // token than ours means that we are fenced, so not then.
-        if r.token <= m.token() {
+        if r.fencing_token <= m.fencing_token() {
             m.attempts
                 .values_mut()
                 .filter(|t| t.phase == Phase::Launching)
                 .for_each(|t| t.sent = false);
         }
-        if m.is_reborn(&r) {
+        if m.has_restarted(&r) {
             tracing::info!(block = %self.block, machine = %id, "the worker has begun anew");
-            m.reborn(now, &r);
+            m.record_restart(now, &r);
         } else if !m.shows_term(&r) {
-            m.uncounted(&r);
+            m.record_uncounted_heartbeat(&r);
             m.needs_probe = false;
-        } else if m.newer(&r) {
+        } else if m.is_newer(&r) {
             self.take_in(now, &r);
         }
         self.pending_commands.insert(id.clone());
@@ -131,30 +133,30 @@
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        m.direct_after = now + super::starts::DIRECT_AGAIN;
+        m.next_direct_command_at = now + super::starts::DIRECT_AGAIN;
         m.token_commands = m.token_commands.saturating_sub(1);
         // It can't be reached: what was to start there starts elsewhere, and nothing
         // more is tried there until it reports.
         m.unsent_commands += 1;
         m.needs_probe = true;
-        let keys = m.unsent();
+        let keys = m.abandon_unsent_launches();
         self.reweigh(id);
         for key in keys {
             self.requeue(&key, id);
         }
     }
 
-    fn event(&mut self, now: Micros, on: &MachineId, event: Event) {
+    fn event(&mut self, now: Micros, on: &MachineId, event: AttemptEvent) {
         match event {
-            Event::Started(key) => {
+            AttemptEvent::Started(key) => {
                 if let Some(job) = self.jobs.get_mut(&key.0.job) {
                     job.runs(key.0.index);
                     self.dirty.insert(key.0.job);
                 }
             }
-            Event::Gone(key) => self.requeue(&key, on),
-            Event::Ended(key, cause) => self.ended(now, on, key, cause),
-            Event::Strange(key, phase, cause) => self.adopt(now, on, key, phase, cause),
+            AttemptEvent::Lost(key) => self.requeue(&key, on),
+            AttemptEvent::Ended(key, cause) => self.ended(now, on, key, cause),
+            AttemptEvent::Unknown(key, phase, cause) => self.adopt(now, on, key, phase, cause),
         }
     }
 
@@ -171,11 +173,11 @@
         let index = key.0.index;
         let mut t = Attempt::new(phase, now, job.as_ref().map(|j| (j.team, &j.desc)));
         t.cause = cause;
-        if t.takes.is_none() && phase != Phase::Exited {
+        if t.demand.is_none() && phase != Phase::Exited {
             match self.unknown_jobs.entry(key.0.job.clone()) {
                 Entry::Occupied(known) => {
                     if let UnknownJob::Known(takes) = known.get() {
-                        t.takes = *takes;
+                        t.demand = *takes;
                     }
                 }
                 Entry::Vacant(new) => {
@@ -199,8 +201,8 @@
         }
         if !ours {
             // Of a job that is over, or elsewhere already: it must go.
-            t.halt = Some(0.0);
-            t.reap = true;
+            t.stop_grace_period_s = Some(0.0);
+            t.may_be_reaped = true;
         }
         let Some(m) = self.machines.get_mut(on) else {
             return;
@@ -229,11 +231,11 @@
     /// The record of an ended job was read, or not.
     pub fn read_ended(&mut self, now: Micros, id: &JobId, reply: &Reply) {
         let takes = match reply {
-            Reply::Found(row) => EndedRecord::read(row)
+            Reply::Value(row) => EndedRecord::read(row)
                 .ok()
                 .and_then(|rec| rec.footprint)
                 .and_then(|f| Some((self.settings.team(&f.team)?, f.request))),
-            Reply::Missing => None,
+            Reply::NotFound => None,
             _ => {
                 let again = UnknownJob::Read(now + READ_AGAIN);
                 self.unknown_jobs.insert(id.clone(), again);
@@ -245,7 +247,7 @@
         let mut on: Vec<MachineId> = Vec::new();
         for (at, m) in &mut self.machines {
             for (_, t) in m.attempts.iter_mut().filter(|(k, _)| k.0.job == *id) {
-                t.takes = t.takes.or(takes);
+                t.demand = t.demand.or(takes);
                 on.push(at.clone());
             }
         }
@@ -275,7 +277,7 @@
         }
         if let Some(m) = self.machines.get_mut(on) {
             if let Some(t) = m.attempts.get_mut(&key) {
-                t.reap = true;
+                t.may_be_reaped = true;
             }
             if let Some(job) = job
                 && matches!(cause, Cause::Error | Cause::Unknown)
--- a/src/blocks/holder/mod.rs
+++ b/src/partitions/owner/mod.rs
@@ -3,31 +3,31 @@
 //! limit, zones, one machine per task) is decided here, in one place.
 
 mod health;
+mod heartbeats;
+mod reconcile;
 mod records;
-mod reports;
 mod starts;
-mod sync;
 mod zones;
 
 pub use zones::MachineCounts;
 
-use super::{Freed, HolderRecord, MachinesRecord};
+use super::{MachinesRecord, PartitionOwnerRecord, ReleaseReason};
 use crate::clock::Micros;
-use crate::fairness::{Resources, Weights};
+use crate::fairness::{Resources, UsageByTeam};
 use crate::fleet::MachineType;
-use crate::ids::{BlockId, JobId, Label, MachineId, Revision, Term};
-use crate::jobs::{Job, Standing};
+use crate::ids::{JobId, Label, MachineId, PartitionId, Revision, Term};
+use crate::jobs::{Job, JobState};
 use crate::placement::{
-    self, ComingMachines, ConstrainedDemand, Need, Queues, Recovery, SchedulingSnapshot,
-    SilentMachines,
+    self, CapacityRequest, ConstrainedDemand, FailoverRecovery, PendingMachines, Queues,
+    SchedulingSnapshot, SilentMachines,
 };
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::store::client::Bucket;
-use crate::store::mirror::Mirror;
-use crate::store::{Cond, Op};
-use crate::workers::{AttemptKey, Direct, Leaving, Machine, Phase};
-use crate::zones::ZoneDuties;
+use crate::store::client::TokenBucket;
+use crate::store::{Compare, Mutation};
+use crate::watch_cache::WatchCache;
+use crate::workers::{AttemptKey, DirectCommand, Machine, Phase, ReleaseState};
+use crate::zones::ZoneEvacuation;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -37,7 +37,7 @@
     /// Jobs that are over.
     Ends {
         /// How each of them ended.
-        ends: Vec<(JobId, Standing)>,
+        ends: Vec<(JobId, JobState)>,
         /// Time of day that is recorded with it.
         at: Micros,
         /// Attempts to be reaped once it is stored.
@@ -60,17 +60,17 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Write to the store.
-    Txn(Write, Vec<Cond>, Vec<Op>),
+    CompareAndSwap(Write, Vec<Compare>, Vec<Mutation>),
     /// Send a direct command to this address.
-    Do(MachineId, String, Direct),
+    SendDirectCommand(MachineId, String, DirectCommand),
     /// How did this job end, and what did it take?
     ReadEnded(JobId),
 }
 
 /// A block in the hands of this controller.
-pub struct Holder {
+pub struct OwnedPartition {
     /// Which block.
-    pub block: BlockId,
+    pub block: PartitionId,
     /// The term of its grant.
     pub term: Term,
     revision: Revision,
@@ -85,8 +85,8 @@
     /// The jobs of the block's teams.
     pub jobs: BTreeMap<JobId, Job>,
     /// The teams' sums over the machines' loads, changed with each of them.
-    weights: Weights,
-    recovery: Option<Recovery>,
+    weights: UsageByTeam,
+    recovery: Option<FailoverRecovery>,
     /// A machine of the take-over has reported: once for all that do in a tick, since
     /// counting walks over the block.
     settled: bool,
@@ -102,10 +102,10 @@
     /// Jobs that may have something to be stored.
     dirty: BTreeSet<JobId>,
     /// Progress gives way to all other changes.
-    progress: Bucket,
+    progress: TokenBucket,
     /// Of that, whether a job has begun to run at all, which only users see. Guards
     /// against a flood of small jobs whose beginnings keep their own ends from the store.
-    display: Bucket,
+    display: TokenBucket,
     /// Machines that may have to be told something directly.
     pending_commands: BTreeSet<MachineId>,
     directs_out: usize,
@@ -141,7 +141,7 @@
     /// The machine types, for their prices.
     types: Rc<[MachineType]>,
     /// None: zone failover is off.
-    zones: Option<ZoneDuties>,
+    zones: Option<ZoneEvacuation>,
     last_move_home: Micros,
 }
 
@@ -171,11 +171,11 @@
 /// while four reports of five were given up, below 0.25 s otherwise).
 const LATE: Micros = Micros::from_millis(400);
 
-impl Holder {
+impl OwnedPartition {
     /// A block that has just been granted, still empty.
     pub fn new(
-        block: BlockId,
-        rec: &HolderRecord,
+        block: PartitionId,
+        rec: &PartitionOwnerRecord,
         revision: Revision,
         settings: &Rc<Settings>,
         policy: &Rc<Policy>,
@@ -183,8 +183,8 @@
     ) -> Self {
         let teams: Vec<usize> = rec.teams.iter().filter_map(|t| settings.team(t)).collect();
         // All blocks together leave most changes to what can't wait.
-        let rate = settings.platform.state.lasting_write_rps() / policy.blocks(settings) as f64;
-        Holder {
+        let rate = settings.platform.state.lowest_write_rps() / policy.blocks(settings) as f64;
+        OwnedPartition {
             block,
             term: rec.term,
             revision,
@@ -194,7 +194,7 @@
             granted: now,
             machines: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            weights: Weights::new(&teams),
+            weights: UsageByTeam::new(&teams),
             teams,
             recovery: None,
             settled: false,
@@ -204,8 +204,8 @@
             unknown_jobs: BTreeMap::new(),
             failing: BTreeSet::new(),
             dirty: BTreeSet::new(),
-            progress: Bucket::new(rate * PROGRESS_PART, now),
-            display: Bucket::new(rate * DISPLAY_PART, now),
+            progress: TokenBucket::new(rate * PROGRESS_PART, now),
+            display: TokenBucket::new(rate * DISPLAY_PART, now),
             pending_commands: BTreeSet::new(),
             directs_out: 0,
             queues: Queues::new(),
@@ -249,7 +249,7 @@
             }
             m.stop(0.0, |(t, _)| t.job == *id);
             for ((t, _), a) in &mut m.attempts {
-                a.reap |= t.job == *id;
+                a.may_be_reaped |= t.job == *id;
             }
             self.pending_commands.insert(at.clone());
         }
@@ -274,7 +274,7 @@
     /// The attempts on a machine changed: so do the sums.
     fn reweigh(&mut self, id: &MachineId) {
         if let Some(m) = self.machines.get_mut(id) {
-            let load = m.count_load();
+            let load = m.compute_load();
             if load != m.load {
                 self.weights.remove(&m.load, m.capacity);
                 self.weights.add(&load, m.capacity);
@@ -283,16 +283,21 @@
         }
     }
 
-    fn scene<'a>(&'a self, now: Micros, day: Micros, fleet: Resources) -> SchedulingSnapshot<'a> {
+    fn snapshot<'a>(
+        &'a self,
+        now: Micros,
+        wall_clock: Micros,
+        fleet: Resources,
+    ) -> SchedulingSnapshot<'a> {
         SchedulingSnapshot {
             settings: &self.settings,
             fleet,
             now,
-            day,
+            wall_clock,
             jobs: &self.jobs,
             machines: &self.machines,
             teams: &self.teams,
-            weights: &self.weights,
+            usage: &self.weights,
             recovery: self.recovery.as_ref(),
             constrained: &self.constrained,
             failing: self
@@ -302,13 +307,13 @@
                 .filter(|job| job.fails())
                 .map(|job| (job.team, job.failing()))
                 .collect(),
-            heard_within: self.heard_within(),
-            zones: self.zones.as_ref(),
+            heartbeat_timeout: self.heard_within(),
+            zone_evacuation: self.zones.as_ref(),
         }
     }
 
     /// What time alone changes.
-    pub fn tick(&mut self, now: Micros, day: Micros, fleet: Resources) {
+    pub fn tick(&mut self, now: Micros, wall_clock: Micros, fleet: Resources) {
         if now.since(self.last_tick) > LATE {
             self.listening = now;
             self.late_ticks += 1;
@@ -317,18 +322,18 @@
         if now.since(self.last_look) >= LOOK {
             self.last_look = now;
             self.look(now);
-            self.look_at_zones(now, day, fleet);
+            self.look_at_zones(now, wall_clock, fleet);
         }
         if std::mem::take(&mut self.settled) {
             self.count_unconfirmed(now);
         }
-        self.decide(now, day, fleet);
+        self.decide(now, wall_clock, fleet);
     }
 
     /// Leases that ran out, machines that should be asked for a sign of life, and
     /// those that the cloud is about to take.
     fn look(&mut self, now: Micros) {
-        let over_after = self.settings.worker_over();
+        let over_after = self.settings.worker_lease_timeout();
         let (intro, quiet, silence) = (
             now.since(self.granted) > TOKEN_COMMAND_AFTER,
             self.reports_of(1.4) + LOOK,
@@ -341,14 +346,14 @@
         let mut displaced: Vec<(JobId, String)> = Vec::new();
         for (id, m) in &mut self.machines {
             let busy = m.unconfirmed || m.attempts.values().any(|t| t.phase != Phase::Exited);
-            if busy && now.since(m.lease_from()) > over_after {
+            if busy && now.since(m.lease_started_at()) > over_after {
                 tracing::info!(block = %self.block, machine = %id, "worker's lease is over");
-                let keys = m.over();
+                let keys = m.expire();
                 displaced.extend(keys.iter().map(|k| (k.0.job.clone(), m.zone.clone())));
                 ended.extend(keys.into_iter().map(|k| (k, id.clone())));
                 over.push(id.clone());
             }
-            let since = m.last_heard.map_or(Micros::ZERO, |h| now.since(h));
+            let since = m.last_heard_at.map_or(Micros::ZERO, |h| now.since(h));
             if since > quiet && since < silence {
                 // Better to know before something is started there.
                 m.needs_probe = true;
@@ -356,15 +361,17 @@
             if m.needs_probe || m.unconfirmed && intro {
                 self.pending_commands.insert(id.clone());
             }
-            if let Some(at) = m.taken_at {
+            if let Some(at) = m.preempted_at {
                 // What saves does so just before the cloud takes the machine.
                 let saves = |t: &crate::workers::Attempt| {
-                    t.desc.as_ref().map(|d| (d.checkpoint_s, d.save_s))
+                    t.desc
+                        .as_ref()
+                        .map(|d| (d.checkpoint_interval_s, d.checkpoint_duration_s))
                 };
                 let due: Vec<(AttemptKey, f64)> = m
                     .attempts
                     .iter()
-                    .filter(|(_, t)| t.phase == Phase::Running && t.halt.is_none())
+                    .filter(|(_, t)| t.phase == Phase::Running && t.stop_grace_period_s.is_none())
                     .filter_map(|(k, t)| Some((k, saves(t)?)))
                     .filter(|(_, (mark, save))| {
                         *mark > 0.0 && at.since(now) < Micros::from_secs(save + NOTICE_MARGIN_S)
@@ -392,22 +399,24 @@
     }
 
     /// The room that waiting work lacks.
-    pub fn needs(&self, now: Micros, day: Micros, fleet: Resources) -> Vec<Need> {
-        let mut coming: Vec<ComingMachines<'_>> = Vec::new();
+    pub fn needs(&self, now: Micros, wall_clock: Micros, fleet: Resources) -> Vec<CapacityRequest> {
+        let mut coming: Vec<PendingMachines<'_>> = Vec::new();
         for m in self
             .machines
             .values()
-            .filter(|m| m.last_heard.is_none() && m.leaving == Leaving::No && !m.draining)
+            .filter(|m| {
+                m.last_heard_at.is_none() && m.release_state == ReleaseState::Active && !m.draining
+            })
             .filter(|m| !self.is_in_lost_zone(m))
         {
-            let alike = |c: &&mut ComingMachines<'_>| {
-                c.build == m.build && c.zone == m.zone && c.spot == m.spot
+            let alike = |c: &&mut PendingMachines<'_>| {
+                c.machine_type == m.machine_type && c.zone == m.zone && c.spot == m.spot
             };
             match coming.iter_mut().find(alike) {
                 Some(c) => c.count += 1,
-                None => coming.push(ComingMachines {
+                None => coming.push(PendingMachines {
                     capacity: m.capacity,
-                    build: &m.build,
+                    machine_type: &m.machine_type,
                     zone: &m.zone,
                     spot: m.spot,
                     count: 1,
@@ -415,7 +424,7 @@
             }
         }
         placement::needs(
-            &self.scene(now, day, fleet),
+            &self.snapshot(now, wall_clock, fleet),
             &coming,
             self.policy.rent_horizon,
         )
@@ -429,7 +438,7 @@
             |ms: &mut dyn Iterator<Item = &Machine>| ms.map(|m| m.capacity.cores).sum::<f64>();
         let used: f64 = self.machines.values().map(|m| m.load.summed.cores).sum();
         let up = cores(&mut self.machines.values().filter(usable));
-        let booting = cores(&mut self.machines.values().filter(|m| m.last_heard.is_none()));
+        let booting = cores(&mut self.machines.values().filter(|m| m.last_heard_at.is_none()));
         let mut waiting: BTreeMap<&str, u32> = BTreeMap::new();
         for j in self.jobs.values().filter(|j| j.wants_machines()) {
             *waiting.entry(&j.desc.class).or_default() += j.waiting.len();
@@ -442,7 +451,7 @@
     /// Each team's heaviness, for the sums; they are made anew from the machines'
     /// loads each time, so that no rounding adds up.
     pub fn sums(&mut self, fleet: Resources) -> BTreeMap<String, f64> {
-        let mut weights = Weights::new(&self.teams);
+        let mut weights = UsageByTeam::new(&self.teams);
         for m in self.machines.values() {
             weights.add(&m.load, m.capacity);
         }
--- a/src/blocks/holder/sync.rs
+++ b/src/partitions/owner/reconcile.rs
@@ -4,45 +4,40 @@
 use super::*;
 use crate::jobs::dependencies::{DependencyGraph, Readiness};
 use crate::jobs::page_tasks;
-use crate::workers::Leaving;
+use crate::workers::ReleaseState;
 
-impl Holder {
+impl OwnedPartition {
     /// Takes over what the mirror has. What ran before is learnt from reports:
     /// until a machine has reported under our token, it may run anything.
-    pub fn take_over(&mut self, now: Micros, mirror: &Mirror, types: &[MachineType]) {
+    pub fn take_over(&mut self, now: Micros, cache: &WatchCache, types: &[MachineType]) {
         // For telling which work has a choice of machines.
         self.constrained = ConstrainedDemand::new(types);
         self.types = types.into();
-        let shards: Vec<u32> = mirror.shards(self.block).map(|(n, ..)| n).collect();
+        let shards: Vec<u32> = cache.shards(self.block).map(|(n, ..)| n).collect();
         for n in shards {
-            self.sync_shard(now, n, mirror, types, true);
+            self.sync_shard(now, n, cache, types, true);
         }
-        let ids: Vec<JobId> = mirror.jobs.keys().cloned().collect();
+        let ids: Vec<JobId> = cache.jobs.keys().cloned().collect();
         for id in ids {
-            self.sync_job(&id, mirror);
+            self.sync_job(&id, cache);
         }
     }
 
     /// The store was read from the start while we held the block all along.
-    pub fn reload(&mut self, now: Micros, mirror: &Mirror, types: &[MachineType]) {
+    pub fn reload(&mut self, now: Micros, cache: &WatchCache, types: &[MachineType]) {
         let known = self.machines.values().map(|m| m.shard);
         let shards: BTreeSet<u32> = known
-            .chain(mirror.shards(self.block).map(|(n, ..)| n))
+            .chain(cache.shards(self.block).map(|(n, ..)| n))
             .collect();
         for n in shards {
-            self.sync_shard(now, n, mirror, types, false);
+            self.sync_shard(now, n, cache, types, false);
         }
-        let jobs: BTreeSet<JobId> = self
-            .jobs
-            .keys()
-            .chain(mirror.jobs.keys())
-            .cloned()
-            .collect();
+        let jobs: BTreeSet<JobId> = self.jobs.keys().chain(cache.jobs.keys()).cloned().collect();
         for id in jobs {
-            self.sync_job(&id, mirror);
+            self.sync_job(&id, cache);
         }
-        for (id, page) in mirror.pages.keys() {
-            self.sync_page(id, *page, mirror);
+        for (id, page) in cache.pages.keys() {
+            self.sync_page(id, *page, cache);
         }
     }
 
@@ -51,13 +46,13 @@
         &mut self,
         now: Micros,
         shard: u32,
-        mirror: &Mirror,
+        cache: &WatchCache,
         types: &[MachineType],
         at_grant: bool,
     ) {
         let in_block = |id: &MachineId| {
-            let found = mirror.machine(id);
-            found.filter(|((b, _), r)| *b == self.block && r.freed.is_none())
+            let found = cache.machine(id);
+            found.filter(|((b, _), r)| *b == self.block && r.release_reason.is_none())
         };
         let of_shard = self.machines.iter().filter(|(_, m)| m.shard == shard);
         let mut lost: Vec<MachineId> = Vec::new();
@@ -71,7 +66,7 @@
             // and all that was on it are gone; or we gave it up, idle.
             if let Some(mut m) = self.machines.remove(&id) {
                 self.weights.remove(&m.load, m.capacity);
-                let keys = m.over();
+                let keys = m.expire();
                 tracing::info!(block = %self.block, machine = %id, lost = keys.len(), "machine left the block");
                 for key in keys {
                     self.displace(&key.0.job, &m.zone);
@@ -79,29 +74,38 @@
                 }
             }
         }
-        let Some((revision, rec)) = mirror.machines.get(&(self.block, shard)) else {
+        let Some((revision, rec)) = cache.machines.get(&(self.block, shard)) else {
             return;
         };
-        for (id, r) in rec.0.iter().filter(|(_, r)| r.freed.is_none()) {
+        for (id, r) in rec.0.iter().filter(|(_, r)| r.release_reason.is_none()) {
             if let Some(m) = self.machines.get_mut(id) {
                 m.shard = shard;
                 m.used |= r.used;
-                if m.leaving == Leaving::Unsure && *revision > m.left_at {
+                if m.release_state == ReleaseState::Indeterminate && *revision > m.release_revision
+                {
                     // The shard has changed since: the late write fails by itself.
-                    m.leaving = Leaving::No;
+                    m.release_state = ReleaseState::Active;
                 }
                 continue;
             }
-            let build = types.iter().find(|t| t.name == r.build);
-            let capacity = build.map_or(Resources::default(), MachineType::capacity);
+            let machine_type = types.iter().find(|t| t.name == r.machine_type);
+            let capacity = machine_type.map_or(Resources::default(), MachineType::capacity);
             let term = self.term.max(r.term);
-            let mut m = Machine::new(now, term, &r.build, &r.zone, r.spot, capacity, &r.addr);
+            let mut m = Machine::new(
+                now,
+                term,
+                &r.machine_type,
+                &r.zone,
+                r.spot,
+                capacity,
+                &r.addr,
+            );
             m.shard = shard;
             m.unconfirmed = at_grant && r.used;
-            m.seasoned = r.used;
+            m.minimum_charge_paid = r.used;
             m.used = r.used;
-            m.fetch = build.map_or(1.0, |t| t.fetch_gb_per_s);
-            m.load = m.count_load();
+            m.image_fetch_gb_per_s = machine_type.map_or(1.0, |t| t.fetch_gb_per_s);
+            m.load = m.compute_load();
             self.weights.add(&m.load, m.capacity);
             self.machines.insert(id.clone(), m);
         }
@@ -110,8 +114,8 @@
     }
 
     /// A job changed in the store.
-    pub fn sync_job(&mut self, id: &JobId, mirror: &Mirror) {
-        let Some((revision, rec)) = mirror.jobs.get(id) else {
+    pub fn sync_job(&mut self, id: &JobId, cache: &WatchCache) {
+        let Some((revision, rec)) = cache.jobs.get(id) else {
             if let Some(job) = self.jobs.remove(id) {
                 self.pass_pending = true;
                 self.unreaped.remove(id);
@@ -131,10 +135,10 @@
         }
         let page = page_tasks(self.settings.platform.state.value_kb);
         let mut job = Job::new(rec, *revision, team, page);
-        job.limit_values(self.settings.platform.state.lasting_value_bytes());
-        job.starts_within = self.settings.starts_within(&rec.desc.class);
+        job.limit_values(self.settings.platform.state.lowest_value_bytes());
+        job.start_latency_objective = self.settings.start_latency_objective(&rec.desc.class);
         job.choose(self.policy.job(&rec.desc));
-        for (n, revision, rec) in mirror.progress(id) {
+        for (n, revision, rec) in cache.progress(id) {
             job.recall(n, revision, rec);
         }
         // A job whose last task was stored but not its end is ended by us.
@@ -173,8 +177,8 @@
 
     /// A page of a job's progress changed: by our own write, one without an answer
     /// included.
-    pub fn sync_page(&mut self, id: &JobId, page: u32, mirror: &Mirror) {
-        if let Some((revision, _)) = mirror.pages.get(&(id.clone(), page))
+    pub fn sync_page(&mut self, id: &JobId, page: u32, cache: &WatchCache) {
+        if let Some((revision, _)) = cache.pages.get(&(id.clone(), page))
             && let Some(job) = self.jobs.get_mut(id)
         {
             job.page_changed(page, *revision);
@@ -186,18 +190,21 @@
         for m in self.machines.values().filter(|m| m.unconfirmed) {
             let capacity = (m.capacity != Resources::default()).then_some(m.capacity);
             let alike = |s: &SilentMachines| {
-                s.build == m.build && s.zone == m.zone && s.spot == m.spot && s.capacity == capacity
+                s.machine_type == m.machine_type
+                    && s.zone == m.zone
+                    && s.spot == m.spot
+                    && s.capacity == capacity
             };
             if !silent.iter().any(alike) {
                 silent.push(SilentMachines {
-                    build: m.build.clone(),
+                    machine_type: m.machine_type.clone(),
                     zone: m.zone.clone(),
                     spot: m.spot,
                     capacity,
                 });
             }
         }
-        let recovery = (!silent.is_empty()).then_some(Recovery {
+        let recovery = (!silent.is_empty()).then_some(FailoverRecovery {
             term: self.term,
             granted: self.revision,
             silent,
