--- a/src/blocks/holder/records.rs
+++ b/src/partitions/owner/records.rs
@@ -1,13 +1,13 @@
 //! What the holder records: jobs' ends and progress, machines in use or given up.
 
-use super::{Effect, Freed, Holder, MachinesRecord, Resigning, Write};
-use crate::blocks::{HolderRecord, write_parts};
+use super::{Effect, MachinesRecord, OwnedPartition, ReleaseReason, Resigning, Write};
 use crate::clock::Micros;
 use crate::ids::{JobId, MachineId, Revision};
-use crate::placement::{self, Need};
-use crate::store::mirror::Mirror;
-use crate::store::{self, Cond, Op, Reply, TXN_BYTES, cond, keys};
-use crate::workers::{AttemptKey, Leaving, Machine};
+use crate::partitions::{PartitionOwnerRecord, write_parts};
+use crate::placement::{self, CapacityRequest};
+use crate::store::{self, Compare, Mutation, Reply, TXN_BYTES, compare, keys};
+use crate::watch_cache::WatchCache;
+use crate::workers::{AttemptKey, Machine, ReleaseState};
 
 /// A job's progress is batched for this long, and longer where all blocks' progress
 /// would take more of the store's changes than its part.
@@ -20,9 +20,9 @@
 const RESIGN_AGAIN: Micros = Micros::from_millis(6_000);
 const GIVE_UP_GAP: Micros = Micros::from_millis(500);
 
-impl Holder {
+impl OwnedPartition {
     /// Batches of job changes for the store: ends at once, then progress.
-    pub fn writes(&mut self, now: Micros, day: Micros) -> Vec<Effect> {
+    pub fn writes(&mut self, now: Micros, wall_clock: Micros) -> Vec<Effect> {
         let dirty: Vec<JobId> = self.dirty.iter().cloned().collect();
         let (mut ends, mut due) = (Vec::new(), Vec::new());
         for id in dirty {
@@ -44,46 +44,46 @@
             }
         }
         let mut out = Vec::new();
-        out.extend(self.write_ends(day, ends));
+        out.extend(self.write_ends(wall_clock, ends));
         due.sort();
         out.extend(self.write_progress(now, due));
         out
     }
 
-    fn own(&self) -> Cond {
-        cond(keys::holder(self.block), self.revision)
+    fn own(&self) -> Compare {
+        compare(keys::partition_owner(self.block), self.revision)
     }
 
-    fn write_ends(&mut self, day: Micros, over: Vec<JobId>) -> Option<Effect> {
-        let budget = self.settings.most_changes();
+    fn write_ends(&mut self, wall_clock: Micros, over: Vec<JobId>) -> Option<Effect> {
+        let budget = self.settings.max_mutations();
         let (mut ends, mut reap) = (Vec::new(), Vec::new());
-        let (mut conds, mut ops) = (vec![self.own()], Vec::new());
+        let (mut compares, mut mutations) = (vec![self.own()], Vec::new());
         for id in over {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if ops.len() + 3 > budget {
+            if mutations.len() + 3 > budget {
                 break;
             }
-            let (c, o) = job.end_ops(day, budget - ops.len());
-            conds.extend(c);
-            ops.extend(o);
+            let (c, o) = job.end_ops(wall_clock, budget - mutations.len());
+            compares.extend(c);
+            mutations.extend(o);
             job.writing = true;
             reap.extend(self.unreaped.remove(&id).unwrap_or_default());
             ends.push((id, job.end_standing()));
         }
         let write = Write::Ends {
-            at: day,
+            at: wall_clock,
             reap,
             ends,
         };
-        (!ops.is_empty()).then_some(Effect::Txn(write, conds, ops))
+        (!mutations.is_empty()).then_some(Effect::CompareAndSwap(write, compares, mutations))
     }
 
     fn write_progress(&mut self, now: Micros, due: Vec<(bool, Micros, JobId)>) -> Option<Effect> {
-        let budget = self.settings.most_changes();
+        let budget = self.settings.max_mutations();
         let (mut jobs, mut reap) = (Vec::new(), Vec::new());
-        let (mut conds, mut ops, mut bytes) = (vec![self.own()], Vec::new(), 0);
+        let (mut compares, mut mutations, mut bytes) = (vec![self.own()], Vec::new(), 0);
         for (only_display, _, id) in due {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
@@ -91,16 +91,17 @@
             if only_display && !self.display.take(now, 1.0, 0.0) {
                 break;
             }
-            if ops.len() >= budget || bytes > TXN_BYTES || !self.progress.take(now, 1.0, 0.0) {
+            if mutations.len() >= budget || bytes > TXN_BYTES || !self.progress.take(now, 1.0, 0.0)
+            {
                 break;
             }
-            let (c, o, pages) = job.progress_ops(&self.me, (budget - ops.len()).min(4));
+            let (c, o, pages) = job.progress_ops(&self.me, (budget - mutations.len()).min(4));
             if pages.is_empty() {
                 continue;
             }
             bytes += o.iter().map(op_size).sum::<usize>();
-            conds.extend(c);
-            ops.extend(o);
+            compares.extend(c);
+            mutations.extend(o);
             job.writing = true;
             job.write_after = now + PROGRESS_GAP;
             // Guards against reports that grow without end: while new pages kept changing,
@@ -112,7 +113,11 @@
             }
             jobs.push((id, pages));
         }
-        (!jobs.is_empty()).then_some(Effect::Txn(Write::Progress { jobs, reap }, conds, ops))
+        (!jobs.is_empty()).then_some(Effect::CompareAndSwap(
+            Write::Progress { jobs, reap },
+            compares,
+            mutations,
+        ))
     }
 
     /// Takes in the store's answer to a write.
@@ -150,17 +155,17 @@
             Write::GiveUp(ids) => {
                 self.writing_machines = false;
                 match reply {
-                    Reply::Committed(_) => self.leave(&ids, Leaving::Stored),
+                    Reply::Committed(_) => self.leave(&ids, ReleaseState::Released),
                     // Surely not done, and it never will be: they stay ours.
-                    Reply::Conflict(_) | Reply::Refused => self.leave(&ids, Leaving::No),
+                    Reply::Conflict(_) | Reply::Rejected => self.leave(&ids, ReleaseState::Active),
                     // It may still be done, so they are not used meanwhile.
-                    _ => self.leave(&ids, Leaving::Unsure),
+                    _ => self.leave(&ids, ReleaseState::Indeterminate),
                 }
             }
         }
     }
 
-    fn leave(&mut self, ids: &[MachineId], to: Leaving) {
+    fn leave(&mut self, ids: &[MachineId], to: ReleaseState) {
         for id in ids {
             let Some(m) = self.machines.get_mut(id) else {
                 continue;
@@ -168,11 +173,12 @@
             // Its shard has changed since the write was sent, which has failed by itself.
             // Guards against giving up a machine that is in use again: the write's answer,
             // or that there was none, may be heard of later than the change.
-            let settled = m.leaving == Leaving::No;
+            let settled = m.release_state == ReleaseState::Active;
             // What an earlier write left unsure, a later conflict can't settle.
-            let unsure = m.leaving == Leaving::Unsure && to == Leaving::No;
+            let unsure =
+                m.release_state == ReleaseState::Indeterminate && to == ReleaseState::Active;
             if !settled && !unsure {
-                m.leaving = to;
+                m.release_state = to;
             }
         }
     }
@@ -208,7 +214,7 @@
             if matches!(reply, Reply::Committed(_)) {
                 let m = self.machines.get_mut(&machine);
                 if let Some(t) = m.and_then(|m| m.attempts.get_mut(&key)) {
-                    t.reap = true;
+                    t.may_be_reaped = true;
                 }
             } else if self.jobs.contains_key(&key.0.job) {
                 self.unreaped
@@ -223,15 +229,16 @@
     /// shards as a transaction takes. The rest follows in the next.
     fn change_shards(
         &mut self,
-        mirror: &Mirror,
+        cache: &WatchCache,
         mut change: impl FnMut(&MachineId, &mut Machine, &mut super::super::MachineRecord) -> bool,
         write: impl Fn(Vec<MachineId>) -> Write,
     ) -> Option<Effect> {
-        let (mut ids, mut conds, mut ops, mut bytes) = (vec![], vec![self.own()], vec![], 0);
-        let most = self.settings.most_changes();
-        let value_bytes = self.settings.platform.state.lasting_value_bytes();
-        let mut free = mirror.free_shards(self.block);
-        for (n, revision, old) in mirror.shards(self.block) {
+        let (mut ids, mut compares, mut mutations, mut bytes) =
+            (vec![], vec![self.own()], vec![], 0);
+        let most = self.settings.max_mutations();
+        let value_bytes = self.settings.platform.state.lowest_value_bytes();
+        let mut free = cache.free_shards(self.block);
+        for (n, revision, old) in cache.shards(self.block) {
             let oversize = old.is_oversize(value_bytes);
             // What an earlier version wrote under a higher limit is written in parts, and
             // in one transaction: a machine is in one of them at any time.
@@ -243,7 +250,7 @@
             if parts > most {
                 continue;
             }
-            if ops.len() + parts > most || bytes > TXN_BYTES {
+            if mutations.len() + parts > most || bytes > TXN_BYTES {
                 break;
             }
             let mut new: Option<MachinesRecord> = None;
@@ -253,7 +260,7 @@
                 };
                 let mut rec = old_rec.clone();
                 if change(id, m, &mut rec) {
-                    m.left_at = revision;
+                    m.release_revision = revision;
                     new.get_or_insert_with(|| (**old).clone())
                         .0
                         .insert(id.clone(), rec);
@@ -268,20 +275,21 @@
                 vec![new]
             };
             let (of_parts, writes) = write_parts(self.block, (n, revision), parts, &mut free);
-            conds.extend(of_parts);
-            ops.extend(writes);
+            compares.extend(of_parts);
+            mutations.extend(writes);
         }
         if ids.is_empty() {
             return None;
         }
         self.writing_machines = true;
-        Some(Effect::Txn(write(ids), conds, ops))
+        Some(Effect::CompareAndSwap(write(ids), compares, mutations))
     }
 
     /// Records machines that were heard for the first time as used, before the
     /// first launch there.
-    pub fn open(&mut self, now: Micros, mirror: &Mirror) -> Option<Effect> {
-        let new = |m: &Machine| !m.used && m.reported && m.leaving == Leaving::No;
+    pub fn open(&mut self, now: Micros, cache: &WatchCache) -> Option<Effect> {
+        let new =
+            |m: &Machine| !m.used && m.has_reported && m.release_state == ReleaseState::Active;
         // Batched: many come up at once, and the mirror may lag behind our own last
         // write, so that the next one would fail as fast as the store can answer.
         if self.writing_machines || now.since(self.last_open) < OPEN_GAP || !self.to_open {
@@ -297,21 +305,22 @@
             }
             opens
         };
-        self.change_shards(mirror, open, Write::Open)
+        self.change_shards(cache, open, Write::Open)
     }
 
     /// Idle machines that go: to other blocks that lack room, or back.
     pub fn give_up(
         &mut self,
         now: Micros,
-        mirror: &Mirror,
-        own: &[Need],
-        others: &[Need],
+        cache: &WatchCache,
+        own: &[CapacityRequest],
+        others: &[CapacityRequest],
     ) -> Option<Effect> {
         if self.writing_machines || now.since(self.last_give_up) < GIVE_UP_GAP {
             return None;
         }
-        let mut lacking: Vec<(Need, u32)> = others.iter().map(|n| (n.clone(), n.count)).collect();
+        let mut lacking: Vec<(CapacityRequest, u32)> =
+            others.iter().map(|n| (n.clone(), n.count)).collect();
         let (heard, policy) = (self.heard_within(), self.policy.clone());
         // Guards against returning what old jobs will use once they may start: while
         // the take-over waits for silent machines, nothing is idle by choice.
@@ -321,16 +330,16 @@
             self.recovered_at
         };
         let go = |_: &MachineId, m: &mut Machine, rec: &mut super::super::MachineRecord| {
-            if m.leaving == Leaving::Unsure && m.empty() {
+            if m.release_state == ReleaseState::Indeterminate && m.is_empty() {
                 // Tried before without an answer: again, since it may be done.
-                rec.freed = Some(Freed::Return);
+                rec.release_reason = Some(ReleaseReason::Return);
                 return true;
             }
-            if !placement::usable(m, now, heard) || !m.empty() {
+            if !placement::usable(m, now, heard) || !m.is_empty() {
                 return false;
             }
             let idle = now.since(m.idle_since.max(idle_from));
-            let fits = |n: &Need| n.fits(&m.build, &m.zone, m.spot, &m.capacity);
+            let fits = |n: &CapacityRequest| n.fits(&m.machine_type, &m.zone, m.spot, &m.capacity);
             let idle_return = if m.spot {
                 policy.idle_return
             } else {
@@ -338,22 +347,22 @@
             };
             // Less than a minute is charged as a minute. Guards against counting it from
             // each take-over anew: under a roll of restarts nothing was returned.
-            let charged = m.seasoned || now.since(m.added) >= LEAST_CHARGED;
+            let charged = m.minimum_charge_paid || now.since(m.added_at) >= LEAST_CHARGED;
             if idle >= idle_return && charged {
-                rec.freed = Some(Freed::Return);
+                rec.release_reason = Some(ReleaseReason::Return);
             } else if idle >= Micros::from_millis(1_000) && !own.iter().any(fits) {
                 let Some(l) = lacking.iter_mut().find(|(n, left)| *left > 0 && fits(n)) else {
                     return false;
                 };
                 l.1 = l.1.saturating_sub(l.0.request.times_in(&m.capacity));
-                rec.freed = Some(Freed::Move);
+                rec.release_reason = Some(ReleaseReason::Move);
             } else {
                 return false;
             }
-            m.leaving = Leaving::Sent;
+            m.release_state = ReleaseState::Requested;
             true
         };
-        let effect = self.change_shards(mirror, go, Write::GiveUp)?;
+        let effect = self.change_shards(cache, go, Write::GiveUp)?;
         self.last_give_up = now;
         Some(effect)
     }
@@ -362,7 +371,7 @@
     /// From now on no order leaves. Guards against answers after the next grant: the
     /// next holder counts a silent worker's lease from there, and our reading of the
     /// grant may come much later.
-    pub fn resign(&mut self, now: Micros) -> Option<(Vec<Cond>, Vec<Op>)> {
+    pub fn resign(&mut self, now: Micros) -> Option<(Vec<Compare>, Vec<Mutation>)> {
         let out = self.resigning.and_then(|r| r.out);
         if out.is_some_and(|at| now.since(at) < RESIGN_AGAIN) {
             return None;
@@ -387,34 +396,34 @@
             // Somebody else's already, or soon: the watch will take the block out.
             Reply::Committed(_) | Reply::Conflict(_) => {}
             // Surely not carried out, and nothing before it can be: it stays ours.
-            Reply::Refused if !r.unsure => self.resigning = None,
-            Reply::Refused => r.out = None,
+            Reply::Rejected if !r.unsure => self.resigning = None,
+            Reply::Rejected => r.out = None,
             _ => (r.out, r.unsure) = (None, true),
         }
     }
 
-    fn resignation(&self) -> (Vec<Cond>, Vec<Op>) {
+    fn resignation(&self) -> (Vec<Compare>, Vec<Mutation>) {
         let teams = self
             .teams
             .iter()
             .map(|t| self.settings.platform.teams[*t].name.clone())
             .collect();
-        let rec = HolderRecord {
-            holder: self.me.clone(),
+        let rec = PartitionOwnerRecord {
+            owner: self.me.clone(),
             incarnation: Revision(0),
             term: self.term,
             teams,
         };
         (
             vec![self.own()],
-            vec![store::set(keys::holder(self.block), &rec)],
+            vec![store::put(keys::partition_owner(self.block), &rec)],
         )
     }
 }
 
-fn op_size(op: &Op) -> usize {
+fn op_size(op: &Mutation) -> usize {
     match op {
-        Op::Set { value, .. } => value.to_string().len() + 64,
-        Op::Delete { .. } => 64,
+        Mutation::Set { value, .. } => value.to_string().len() + 64,
+        Mutation::Delete { .. } => 64,
     }
 }
--- a/src/blocks/holder/starts.rs
+++ b/src/partitions/owner/starts.rs
@@ -1,11 +1,11 @@
 //! What to start and to stop, and telling the machines.
 
-use super::{Effect, Holder};
+use super::{Effect, OwnedPartition};
 use crate::clock::Micros;
 use crate::fairness::Resources;
 use crate::ids::{AttemptId, MachineId, TaskId};
-use crate::placement::{self, CandidateMachines, Choice, Placed};
-use crate::workers::{Attempt, Direct, Leaving, Phase};
+use crate::placement::{self, CandidateMachines, Placement, PlacementPass};
+use crate::workers::{Attempt, DirectCommand, Phase, ReleaseState};
 
 /// After an attempt to connect failed.
 pub(super) const DIRECT_AGAIN: Micros = Micros::from_millis(1_000);
@@ -21,41 +21,41 @@
 /// Direct commands that are out at once.
 const MOST_DIRECTS: usize = 48;
 
-impl Holder {
+impl OwnedPartition {
     /// Decides over the whole block what to start, if anything changed.
-    pub(super) fn decide(&mut self, now: Micros, day: Micros, fleet: Resources) {
+    pub(super) fn decide(&mut self, now: Micros, wall_clock: Micros, fleet: Resources) {
         if !self.pass_pending || now < self.next_pass || self.resigns() {
             return;
         }
         self.pass_pending = false;
-        let queues = placement::queues(&self.scene(now, day, fleet));
+        let queues = placement::queues(&self.snapshot(now, wall_clock, fleet));
         let waiting = self
             .constrained
-            .waiting(&self.scene(now, day, fleet), &queues);
+            .waiting(&self.snapshot(now, wall_clock, fleet), &queues);
         self.constrained.set_waiting(waiting);
-        let scene = self.scene(now, day, fleet);
+        let snapshot = self.snapshot(now, wall_clock, fleet);
         let mut cost = 0;
         if !queues.is_empty() {
-            let floor = CandidateMachines::whole(&scene);
+            let floor = CandidateMachines::whole(&snapshot);
             cost = floor.len();
-            let placed = placement::place(&scene, &queues, floor, PASS_REACH, MOST_STARTS);
+            let placed = placement::place(&snapshot, &queues, floor, PASS_REACH, MOST_STARTS);
             cost += placed.machines_compared;
             self.pass_pending = placed.choices.len() >= MOST_STARTS;
             self.machines_compared += placed.machines_compared;
             self.hold(&placed);
-            self.start(now, day, placed.choices, true);
+            self.start(now, wall_clock, placed.choices, true);
         } else {
-            self.hold(&Placed::default());
+            self.hold(&PlacementPass::default());
         }
         self.queues = queues;
         self.next_pass = now + PASS_GAP + Micros(cost as u64 * PASS_COST_US);
         if now.since(self.last_preempt) >= PREEMPT_GAP && !self.queues.is_empty() {
             self.last_preempt = now;
-            self.preempt(now, day, fleet);
+            self.preempt(now, wall_clock, fleet);
         }
     }
 
-    fn hold(&mut self, placed: &Placed) {
+    fn hold(&mut self, placed: &PlacementPass) {
         for id in std::mem::take(&mut self.held) {
             if let Some(m) = self.machines.get_mut(&id) {
                 m.held_for = None;
@@ -74,23 +74,29 @@
 
     /// Room got free on a machine that is about to be answered: what comes next
     /// there is decided without a look at any other machine.
-    pub(super) fn refill(&mut self, now: Micros, day: Micros, fleet: Resources, id: &MachineId) {
+    pub(super) fn refill(
+        &mut self,
+        now: Micros,
+        wall_clock: Micros,
+        fleet: Resources,
+        id: &MachineId,
+    ) {
         if self.queues.is_empty() {
             return;
         }
-        let scene = self.scene(now, day, fleet);
+        let snapshot = self.snapshot(now, wall_clock, fleet);
         let Some((id, _)) = self.machines.get_key_value(id) else {
             return;
         };
-        let Some(floor) = CandidateMachines::one(&scene, id) else {
+        let Some(floor) = CandidateMachines::one(&snapshot, id) else {
             return;
         };
-        let placed = placement::place(&scene, &self.queues, floor, REFILL_REACH, MOST_STARTS);
+        let placed = placement::place(&snapshot, &self.queues, floor, REFILL_REACH, MOST_STARTS);
         self.machines_compared += placed.machines_compared;
-        self.start(now, day, placed.choices, false);
+        self.start(now, wall_clock, placed.choices, false);
     }
 
-    fn start(&mut self, now: Micros, day: Micros, choices: Vec<Choice>, tell: bool) {
+    fn start(&mut self, now: Micros, wall_clock: Micros, choices: Vec<Placement>, tell: bool) {
         for c in choices {
             self.counter += 1;
             let attempt = AttemptId::of(self.term, self.counter);
@@ -100,7 +106,7 @@
                 continue;
             };
             job.start(c.index, c.machine.clone());
-            job.last_start = day;
+            job.last_start = wall_clock;
             if job.fails() {
                 // Until these have ended, no others of it are tried.
                 job.back_off(now);
@@ -125,8 +131,8 @@
     }
 
     /// Stops work for what found no room and comes before it.
-    fn preempt(&mut self, now: Micros, day: Micros, fleet: Resources) {
-        let preemption = placement::preempt(&self.scene(now, day, fleet));
+    fn preempt(&mut self, now: Micros, wall_clock: Micros, fleet: Resources) {
+        let preemption = placement::preempt(&self.snapshot(now, wall_clock, fleet));
         self.machines_compared += preemption.machines_compared;
         for s in preemption.stops {
             let Some(m) = self.machines.get_mut(&s.machine) else {
@@ -163,7 +169,7 @@
             let Some(m) = self
                 .machines
                 .get_mut(id)
-                .filter(|m| m.leaving == Leaving::No)
+                .filter(|m| m.release_state == ReleaseState::Active)
             else {
                 done.push(id.clone());
                 continue;
@@ -171,33 +177,39 @@
             // Once to learn the session, once under it; more would only pile up
             // behind a cut, and the machine's own next report does as well.
             let introduce = m.unconfirmed && m.token_commands <= 1;
-            let reachable = m.quiet() && m.last_heard.is_some_and(|h| now.since(h) < heard_within);
-            let word = m.wants_command() && (reachable && m.session > 0 || m.needs_probe);
+            let reachable = m.has_no_command_in_transit()
+                && m.last_heard_at.is_some_and(|h| now.since(h) < heard_within);
+            let word =
+                m.needs_direct_command() && (reachable && m.agent_epoch > 0 || m.needs_probe);
             if !introduce && !word || m.addr.is_empty() {
-                if !m.direct_out {
+                if !m.direct_command_in_flight {
                     done.push(id.clone());
                 }
                 continue;
             }
-            if m.direct_out || now < m.direct_after {
+            if m.direct_command_in_flight || now < m.next_direct_command_at {
                 continue;
             }
             m.token_commands += u32::from(introduce);
-            m.command_sent();
-            m.direct_after = now + DIRECT_GAP;
+            m.record_direct_command_sent();
+            m.next_direct_command_at = now + DIRECT_GAP;
             // A direct command goes out under the token that was shown; orders only
             // to those whose picture counts.
             let orders = if reachable {
-                m.orders(false)
+                m.commands(false)
             } else {
                 Vec::new()
             };
-            let direct = Direct {
-                token: m.token(),
-                session: m.session(),
-                orders,
+            let direct = DirectCommand {
+                fencing_token: m.fencing_token(),
+                agent_epoch: m.target_agent_epoch(),
+                commands: orders,
             };
-            out.push(Effect::Do(id.clone(), m.addr.clone(), direct));
+            out.push(Effect::SendDirectCommand(
+                id.clone(),
+                m.addr.clone(),
+                direct,
+            ));
         }
         for id in done {
             self.pending_commands.remove(&id);
--- a/src/blocks/holder/tests.rs
+++ b/src/partitions/owner/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use crate::blocks::MachineRecord;
 use crate::ids::FencingToken;
 use crate::jobs::tests::{rec, types};
+use crate::partitions::MachineRecord;
 use crate::policy::tests::standard;
 use crate::settings::tests::settings;
-use crate::store::{Change, Reply, keys};
+use crate::store::{Reply, WatchEvent, keys};
 use crate::subsystems::Subsystems;
 use crate::workers::tests::report;
 use crate::zones::ZoneSituation;
@@ -14,8 +14,8 @@
 }
 
 /// The store's newest word on a key.
-fn told(mirror: &mut Mirror, key: String, value: serde_json::Value, revision: u64) {
-    mirror.change(Change {
+fn told(cache: &mut WatchCache, key: String, value: serde_json::Value, revision: u64) {
+    cache.change(WatchEvent {
         set: Some(key),
         delete: None,
         value,
@@ -23,7 +23,7 @@
     });
 }
 
-fn shard(mirror: &mut Mirror, machines: &[&str], revision: u64) {
+fn shard(cache: &mut WatchCache, machines: &[&str], revision: u64) {
     let used = |id: &&str| {
         let mut rec = MachineRecord::blank("10.1.0.1:9000".into(), "big", "x", false);
         rec.used = true;
@@ -31,12 +31,12 @@
     };
     let rec = MachinesRecord(machines.iter().map(used).collect());
     let value = serde_json::to_value(rec).expect("a record");
-    told(mirror, keys::machines(BlockId(0), 0), value, revision);
+    told(cache, keys::shard(PartitionId(0), 0), value, revision);
 }
 
 struct Bench {
-    h: Holder,
-    mirror: Mirror,
+    h: OwnedPartition,
+    cache: WatchCache,
     sequence: u64,
 }
 
@@ -44,21 +44,22 @@
     /// A holder of one block with one machine that has nothing to do.
     fn new() -> Bench {
         let settings = Rc::new(settings());
-        let grant = HolderRecord {
-            holder: settings.label.clone(),
+        let grant = PartitionOwnerRecord {
+            owner: settings.label.clone(),
             incarnation: Revision(1),
             term: Term(3),
             teams: vec!["red".into(), "blue".into()],
         };
-        let mut mirror = Mirror::default();
-        shard(&mut mirror, &["m-1"], 5);
+        let mut cache = WatchCache::default();
+        shard(&mut cache, &["m-1"], 5);
         let policy = Rc::new(standard());
         let now = secs(1.0);
-        let mut h = Holder::new(BlockId(0), &grant, Revision(4), &settings, &policy, now);
-        h.take_over(now, &mirror, &types());
+        let mut h =
+            OwnedPartition::new(PartitionId(0), &grant, Revision(4), &settings, &policy, now);
+        h.take_over(now, &cache, &types());
         Bench {
             h,
-            mirror,
+            cache,
             sequence: 0,
         }
     }
@@ -73,8 +74,8 @@
     }
 
     fn give_up(&mut self, now: Micros) -> Option<Write> {
-        match self.h.give_up(now, &self.mirror, &[], &[])? {
-            Effect::Txn(write, ..) => Some(write),
+        match self.h.give_up(now, &self.cache, &[], &[])? {
+            Effect::CompareAndSwap(write, ..) => Some(write),
             _ => None,
         }
     }
@@ -85,8 +86,8 @@
 #[test]
 fn a_holder_that_falls_behind_takes_no_machine_for_dead() {
     let mut b = Bench::new();
-    shard(&mut b.mirror, &["m-1", "m-2"], 6);
-    b.h.sync_shard(secs(1.0), 0, &b.mirror, &types(), false);
+    shard(&mut b.cache, &["m-1", "m-2"], 6);
+    b.h.sync_shard(secs(1.0), 0, &b.cache, &types(), false);
     let fleet = Resources::new(32.0, 0.0, 128.0);
     let both = |b: &mut Bench, now: Micros| {
         b.report(now);
@@ -125,24 +126,27 @@
         b.report(secs(s));
     }
     let first = b.give_up(secs(100.0)).expect("idle, so it goes");
-    b.h.stored(secs(102.5), first, &Reply::Unknown);
+    b.h.stored(secs(102.5), first, &Reply::Indeterminate);
     b.report(secs(102.5));
     let second = b.give_up(secs(103.0)).expect("once more");
     // While that is out, somebody else changes the shard: both have failed.
-    shard(&mut b.mirror, &["m-1", "m-2"], 6);
-    b.h.sync_shard(secs(103.5), 0, &b.mirror, &types(), false);
+    shard(&mut b.cache, &["m-1", "m-2"], 6);
+    b.h.sync_shard(secs(103.5), 0, &b.cache, &types(), false);
     let job = serde_json::to_value(rec("j-1", 1, Term(3))).expect("a record");
-    told(&mut b.mirror, keys::job(&"j-1".into()), job, 7);
-    b.h.sync_job(&"j-1".into(), &b.mirror);
+    told(&mut b.cache, keys::job(&"j-1".into()), job, 7);
+    b.h.sync_job(&"j-1".into(), &b.cache);
     b.report(secs(104.0));
     assert_eq!(
         b.h.machines[&"m-1".into()].attempts.len(),
         1,
         "in use again"
     );
-    b.h.stored(secs(105.5), second, &Reply::Unknown);
+    b.h.stored(secs(105.5), second, &Reply::Indeterminate);
     assert_eq!(b.give_up(secs(106.0)), None);
-    assert_eq!(b.h.machines[&"m-1".into()].leaving, Leaving::No);
+    assert_eq!(
+        b.h.machines[&"m-1".into()].release_state,
+        ReleaseState::Active
+    );
 }
 
 /// While an earlier version leads, nobody else splits what that one has filled up to the
@@ -162,12 +166,12 @@
     };
     let all = MachinesRecord((1..=60).map(blank).collect());
     let value = serde_json::to_value(&all).expect("a record");
-    let key = keys::machines(BlockId(0), 0);
-    told(&mut bench.mirror, key.clone(), value, 7);
-    let used = keys::machines(BlockId(0), 1);
-    told(&mut bench.mirror, used.clone(), serde_json::json!({}), 8);
+    let key = keys::shard(PartitionId(0), 0);
+    told(&mut bench.cache, key.clone(), value, 7);
+    let used = keys::shard(PartitionId(0), 1);
+    told(&mut bench.cache, used.clone(), serde_json::json!({}), 8);
     let now = secs(2.0);
-    bench.h.sync_shard(now, 0, &bench.mirror, &types(), false);
+    bench.h.sync_shard(now, 0, &bench.cache, &types(), false);
     for s in [2.5, 4.0] {
         bench.report(secs(s));
     }
@@ -178,22 +182,26 @@
         .expect("a machine")
         .used = false;
     bench.h.to_open = true;
-    let opened = bench.h.open(secs(5.0), &bench.mirror);
-    let Some(Effect::Txn(Write::Open(ids), conds, ops)) = opened else {
+    let opened = bench.h.open(secs(5.0), &bench.cache);
+    let Some(Effect::CompareAndSwap(Write::Open(ids), compares, mutations)) = opened else {
         panic!("{opened:?}");
     };
     assert_eq!(ids, vec![MachineId::from("m-1")]);
-    assert!(ops.len() > 1 && ops.len() <= 5, "{} changes", ops.len());
+    assert!(
+        mutations.len() > 1 && mutations.len() <= 5,
+        "{} changes",
+        mutations.len()
+    );
     // Conditional on the holder, on the shard as it was, and on numbers that are free.
-    assert_eq!(conds[1], crate::store::cond(key, Revision(7)));
+    assert_eq!(compares[1], crate::store::compare(key, Revision(7)));
     assert!(
-        conds[2..]
+        compares[2..]
             .iter()
             .all(|c| c.revision == Revision(0) && c.key != used)
     );
     let mut joined = BTreeMap::new();
-    for op in ops {
-        let Op::Set { value, .. } = op else {
+    for op in mutations {
+        let Mutation::Set { value, .. } = op else {
             panic!("only sets")
         };
         assert!(value.to_string().len() <= 2048);
@@ -207,8 +215,8 @@
 /// Two machines, and zone failover on with the zone in this state.
 fn zoned(state: &str) -> Bench {
     let mut b = Bench::new();
-    shard(&mut b.mirror, &["m-1", "m-2"], 6);
-    b.h.sync_shard(secs(1.0), 0, &b.mirror, &types(), false);
+    shard(&mut b.cache, &["m-1", "m-2"], 6);
+    b.h.sync_shard(secs(1.0), 0, &b.cache, &types(), false);
     let on = Subsystems::parse("[zone-failover]\nenabled = true", &settings()).expect("a file");
     let zone = serde_json::json!({"state": state, "epoch": 1, "since": 0, "relapses": 1});
     let zone = serde_json::from_value(zone).expect("a zone's record");
--- a/src/blocks/holder/zones.rs
+++ b/src/partitions/owner/zones.rs
@@ -1,15 +1,15 @@
 //! Zones in a holder's block: what it sees of them, giving up silent machines of lost ones
 //! in waves, and moving running work home.
 
-use super::Holder;
+use super::OwnedPartition;
 use crate::clock::Micros;
 use crate::fairness::Resources;
 use crate::fleet::MachineType;
 use crate::ids::{JobId, MachineId, ZoneId};
 use crate::jobs::{Job, JobDesc};
 use crate::placement;
-use crate::workers::{Attempt, AttemptKey, Leaving, Machine, Phase, Reserved};
-use crate::zones::{ZoneDuties, ZoneFailoverConfig, ZoneSituation};
+use crate::workers::{Attempt, AttemptKey, Machine, Phase, ReleaseState, Reserved};
+use crate::zones::{ZoneEvacuation, ZoneFailoverConfig, ZoneSituation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use zone_failover::evacuation::{EvacuationPriority, SilentMachine};
@@ -47,7 +47,7 @@
     home: MachineId,
 }
 
-impl Holder {
+impl OwnedPartition {
     /// Turns zone failover on, and tells how the zones stand.
     pub fn set_zones(
         &mut self,
@@ -55,28 +55,28 @@
         config: &Rc<ZoneFailoverConfig>,
         situation: &Rc<ZoneSituation>,
     ) {
-        let duties = self
+        let evacuation = self
             .zones
-            .get_or_insert_with(|| ZoneDuties::new(config.clone()));
-        if !Rc::ptr_eq(&duties.situation, situation) {
+            .get_or_insert_with(|| ZoneEvacuation::new(config.clone()));
+        if !Rc::ptr_eq(&evacuation.situation, situation) {
             // Zones open and close for work that waits.
             self.pass_pending = true;
         }
-        duties.sync(now, situation);
+        evacuation.sync(now, situation);
     }
 
     /// Whether a machine's zone is lost: what boots there may not come up.
     pub(super) fn is_in_lost_zone(&self, m: &Machine) -> bool {
-        let state = |duties: &ZoneDuties| duties.situation.state(&m.zone);
+        let state = |evacuation: &ZoneEvacuation| evacuation.situation.state(&m.zone);
         self.zones.as_ref().map(state) == Some(ZoneState::Lost)
     }
 
     /// Waiting tasks that may run nowhere but in a lost zone.
     pub(super) fn bound_to_lost_zones(&self) -> u32 {
-        let Some(duties) = &self.zones else {
+        let Some(evacuation) = &self.zones else {
             return 0;
         };
-        let is_lost = |zone: &String| duties.situation.state(zone) == ZoneState::Lost;
+        let is_lost = |zone: &String| evacuation.situation.state(zone) == ZoneState::Lost;
         let bound =
             |job: &&Job| job.wants_machines() && job.desc.zone.as_ref().is_some_and(is_lost);
         let waiting = self.jobs.values().filter(bound);
@@ -90,11 +90,11 @@
 
     pub(super) fn is_silent(&self, now: Micros, m: &Machine) -> bool {
         let least = self.longest_gap();
-        match m.last_heard {
-            Some(heard) => now.since(heard.max(self.listening).max(m.added)) > least,
+        match m.last_heard_at {
+            Some(heard) => now.since(heard.max(self.listening).max(m.added_at)) > least,
             None => {
                 let least = least.max(LEAST_SILENCE_AFTER_TAKE_OVER);
-                m.unconfirmed && now.since(m.added.max(self.listening)) > least
+                m.unconfirmed && now.since(m.added_at.max(self.listening)) > least
             }
         }
     }
@@ -112,21 +112,21 @@
         if !self.can_tell_of_zones(now) {
             return counts;
         }
-        let Some(duties) = &self.zones else {
+        let Some(evacuation) = &self.zones else {
             return counts;
         };
-        for zone in duties.situation.lost().into_keys() {
-            let waiting = duties.tasks_held_back(&zone, &self.jobs);
+        for zone in evacuation.situation.lost().into_keys() {
+            let waiting = evacuation.tasks_held_back(&zone, &self.jobs);
             counts.entry(zone).or_default().waiting = waiting;
         }
         for (id, m) in &self.machines {
-            let has_been_up = m.last_heard.is_some() || m.unconfirmed;
-            if !has_been_up || m.leaving != Leaving::No {
+            let has_been_up = m.last_heard_at.is_some() || m.unconfirmed;
+            if !has_been_up || m.release_state != ReleaseState::Active {
                 continue;
             }
             let zone = ZoneId::from(m.zone.as_str());
             let is_silent = self.is_silent(now, m);
-            let is_held_back = is_silent && duties.is_held_back(&zone, id);
+            let is_held_back = is_silent && evacuation.is_held_back(&zone, id);
             let of_zone = counts.entry(zone).or_default();
             of_zone.machines += 1;
             of_zone.silent += u32::from(is_silent);
@@ -137,54 +137,54 @@
 
     /// An attempt of a job was lost with a machine.
     pub(super) fn displace(&mut self, job: &JobId, zone: &str) {
-        if let Some(duties) = &mut self.zones {
-            duties.displace(job, zone);
+        if let Some(evacuation) = &mut self.zones {
+            evacuation.displace(job, zone);
         }
     }
 
     /// Machines of which nothing is known since a take-over are silent with their zone: any
     /// job that an earlier holder may have started there may have lost an attempt.
     fn displace_unconfirmed(&mut self) {
-        let (Some(duties), Some(recovery)) = (&mut self.zones, &self.recovery) else {
+        let (Some(evacuation), Some(recovery)) = (&mut self.zones, &self.recovery) else {
             return;
         };
         for kind in &recovery.silent {
-            if duties.situation.state(&kind.zone) == ZoneState::Healthy {
+            if evacuation.situation.state(&kind.zone) == ZoneState::Healthy {
                 continue;
             }
             for (id, job) in &self.jobs {
                 let may_have_been_there = job
                     .may_have_begun_before(recovery.term, recovery.granted)
-                    && job.may_have_been_on(&kind.build, &kind.zone, kind.spot);
+                    && job.may_have_been_on(&kind.machine_type, &kind.zone, kind.spot);
                 if may_have_been_there {
-                    duties.displace(id, &kind.zone);
+                    evacuation.displace(id, &kind.zone);
                 }
             }
         }
     }
 
     /// What time and the leader's waves change.
-    pub(super) fn look_at_zones(&mut self, now: Micros, day: Micros, fleet: Resources) {
+    pub(super) fn look_at_zones(&mut self, now: Micros, wall_clock: Micros, fleet: Resources) {
         if self.zones.is_none() {
             return;
         }
         self.displace_unconfirmed();
-        let silent = self.silent_of_lost(now, day);
+        let silent = self.silent_of_lost(now, wall_clock);
         let down = self.zones_down(now);
-        if let Some(duties) = &mut self.zones {
-            duties.forget(now, &self.jobs);
-            duties.observe(now, &down);
-            duties.advance(day, silent, &self.jobs);
+        if let Some(evacuation) = &mut self.zones {
+            evacuation.forget(now, &self.jobs);
+            evacuation.observe(now, &down);
+            evacuation.advance(wall_clock, silent, &self.jobs);
         }
         if now.since(self.last_move_home) >= MOVE_EVERY {
             self.last_move_home = now;
-            self.move_home(now, day, fleet);
+            self.move_home(now, wall_clock, fleet);
         }
     }
 
     /// The zones that are down as far as this holder sees; none if all of them are.
     fn zones_down(&self, now: Micros) -> BTreeSet<ZoneId> {
-        let Some(duties) = &self.zones else {
+        let Some(evacuation) = &self.zones else {
             return BTreeSet::new();
         };
         let counts = self.zone_counts(now);
@@ -194,7 +194,7 @@
                 silent: counts.silent,
                 ..ZoneObservation::default()
             };
-            seen.condition(&duties.config.settings.health) == Condition::Down
+            seen.condition(&evacuation.config.settings.health) == Condition::Down
         };
         let down: BTreeSet<ZoneId> = counts
             .iter()
@@ -209,23 +209,27 @@
     }
 
     /// The silent machines of lost zones, with the priority of what may run on them.
-    fn silent_of_lost(&self, now: Micros, day: Micros) -> BTreeMap<ZoneId, Vec<SilentMachine>> {
+    fn silent_of_lost(
+        &self,
+        now: Micros,
+        wall_clock: Micros,
+    ) -> BTreeMap<ZoneId, Vec<SilentMachine>> {
         let mut silent: BTreeMap<ZoneId, Vec<SilentMachine>> = BTreeMap::new();
-        let Some(duties) = &self.zones else {
+        let Some(evacuation) = &self.zones else {
             return silent;
         };
-        let lost = duties.situation.lost();
+        let lost = evacuation.situation.lost();
         if lost.is_empty() {
             return silent;
         }
-        let priority = |job: &Job| duties.config.order.priority(job, day);
+        let priority = |job: &Job| evacuation.config.order.priority(job, wall_clock);
         let old = |job: &&Job| job.may_have_begun_before(self.term, self.revision);
         let of_old = first(self.jobs.values().filter(old).map(priority));
         for (id, m) in &self.machines {
             let Some((zone, _)) = lost.get_key_value(m.zone.as_str()) else {
                 continue;
             };
-            if m.leaving != Leaving::No || !self.is_silent(now, m) {
+            if m.release_state != ReleaseState::Active || !self.is_silent(now, m) {
                 continue;
             }
             let on_it = m.attempts.keys().filter_map(|(t, _)| self.jobs.get(&t.job));
@@ -244,30 +248,30 @@
     }
 
     /// Stops running tasks elsewhere for which there is room in their zone again.
-    fn move_home(&mut self, now: Micros, day: Micros, fleet: Resources) {
-        let Some(duties) = &self.zones else {
+    fn move_home(&mut self, now: Micros, wall_clock: Micros, fleet: Resources) {
+        let Some(evacuation) = &self.zones else {
             return;
         };
-        let settings = &duties.config.settings.homecoming;
-        if !settings.move_running || self.resigns() || !settings.is_open(day) {
+        let settings = &evacuation.config.settings.homecoming;
+        if !settings.move_running || self.resigns() || !settings.is_open(wall_clock) {
             return;
         }
         let period = settings.period;
-        let recent = |since: Micros| day.since(since) < period;
-        let back: Vec<ZoneId> = duties
+        let recent = |since: Micros| wall_clock.since(since) < period;
+        let back: Vec<ZoneId> = evacuation
             .situation
             .returned
             .iter()
             .filter(|(_, zone)| recent(zone.since))
             .map(|(id, _)| id.clone())
             .collect();
-        let homeward = self.homeward(now, day, fleet, &back);
+        let homeward = self.homeward(now, wall_clock, fleet, &back);
         let homes: BTreeMap<AttemptKey, MachineId> = homeward
             .iter()
             .map(|h| (h.task.key.1.clone(), h.home.clone()))
             .collect();
         let tasks = homeward.into_iter().map(|h| h.task).collect();
-        let chosen = homecoming::choose(tasks, &duties.moving(), settings);
+        let chosen = homecoming::choose(tasks, &evacuation.moving(), settings);
         for (from, task) in chosen {
             if let Some(home) = homes.get(&task) {
                 self.move_task(now, &from, &task, home);
@@ -280,25 +284,25 @@
     fn homeward(
         &self,
         now: Micros,
-        day: Micros,
+        wall_clock: Micros,
         fleet: Resources,
         back: &[ZoneId],
     ) -> Vec<Homeward> {
-        let Some(duties) = &self.zones else {
+        let Some(evacuation) = &self.zones else {
             return Vec::new();
         };
-        let scene = self.scene(now, day, fleet);
+        let snapshot = self.snapshot(now, wall_clock, fleet);
         let mut room: BTreeMap<&MachineId, Resources> = self
             .machines
             .iter()
             .filter(|(_, m)| back.iter().any(|zone| zone.as_str() == m.zone))
-            .filter(|(_, m)| placement::usable(m, now, scene.heard_within))
+            .filter(|(_, m)| placement::usable(m, now, snapshot.heartbeat_timeout))
             .map(|(id, m)| (id, m.capacity - m.load.summed - reserved(m, now)))
             .collect();
         let mut homeward = Vec::new();
         for (from, m) in &self.machines {
             for (key, attempt) in &m.attempts {
-                let of_zone = duties.displaced_from(&key.0.job);
+                let of_zone = evacuation.displaced_from(&key.0.job);
                 let Some(zone) = of_zone.filter(|z| back.contains(z)) else {
                     continue;
                 };
@@ -332,7 +336,7 @@
     ) -> Option<(EvacuatedTask<(MachineId, AttemptKey)>, MachineId)> {
         let desc = &job.desc;
         let fits = |id: &MachineId, free: &Resources| {
-            let allowed = |m: &Machine| desc.allows(&m.build, &m.zone, m.spot);
+            let allowed = |m: &Machine| desc.allows(&m.machine_type, &m.zone, m.spot);
             desc.request().fits_in(free) && self.machines.get(id).is_some_and(allowed)
         };
         let (home, _) = room.iter().find(|(id, free)| fits(id, free))?;
@@ -343,14 +347,14 @@
             .map_or(0.0, |since| now.since(since).as_secs());
         let here = self.hourly(at, desc)?;
         let there = self.hourly(home_machine, desc)?;
-        let left_s = (desc.estimate_s - ran).max(0.0);
-        let fetch_s = desc.image_gb / home_machine.fetch.max(0.01);
-        let again_s = desc.save_s + RESTART_S + fetch_s;
+        let left_s = (desc.estimated_run_time_s - ran).max(0.0);
+        let fetch_s = desc.image_gb / home_machine.image_fetch_gb_per_s.max(0.01);
+        let again_s = desc.checkpoint_duration_s + RESTART_S + fetch_s;
         let task = EvacuatedTask {
             key: (from.clone(), key.clone()),
             team: job.team,
             begun: attempt.running_since.is_some(),
-            saves: desc.checkpoint_s > 0.0,
+            saves: desc.checkpoint_interval_s > 0.0,
             gain: (here - there) * left_s,
             loss: there * again_s,
         };
@@ -359,7 +363,7 @@
 
     /// What a task's share of a machine costs in an hour.
     fn hourly(&self, m: &Machine, desc: &JobDesc) -> Option<f64> {
-        let of_type = |t: &&MachineType| t.name == m.build;
+        let of_type = |t: &&MachineType| t.name == m.machine_type;
         let machine_type = self.types.iter().find(of_type)?;
         let price = if m.spot {
             machine_type.spot_price
@@ -374,7 +378,7 @@
             return;
         };
         let (team, request) = (job.team, job.desc.request());
-        let leeway_s = job.desc.save_s + 1.0;
+        let leeway_s = job.desc.checkpoint_duration_s + 1.0;
         let Some(m) = self.machines.get_mut(from) else {
             return;
         };
@@ -395,8 +399,8 @@
                 }),
             }
         }
-        if let Some(duties) = &mut self.zones {
-            duties.moves(now, key.clone(), team);
+        if let Some(evacuation) = &mut self.zones {
+            evacuation.moves(now, key.clone(), team);
         }
         tracing::info!(block = %self.block, task = %key.0, %from, %home, "zone: moving a running task home");
     }
@@ -419,10 +423,10 @@
 /// Whether an attempt may be stopped to be started elsewhere: jobs whose tasks are bound to
 /// each other's zones stay together.
 fn may_be_moved(job: &Job, attempt: &Attempt) -> bool {
-    !job.desc.one_zone
-        && !job.desc.apart
+    !job.desc.single_zone
+        && !job.desc.anti_affinity
         && !job.ended
-        && attempt.halt.is_none()
+        && attempt.stop_grace_period_s.is_none()
         && attempt.abandoned.is_none()
         && matches!(attempt.phase, Phase::Pulling | Phase::Running)
 }
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -52,7 +52,7 @@
 
 /// Machines alike in type, zone and kind.
 struct Kind<'a> {
-    build: &'a str,
+    machine_type: &'a str,
     zone: &'a str,
     spot: bool,
     /// The most that any of them has free; less may be left by now.
@@ -74,9 +74,9 @@
 
 impl<'a> CandidateMachines<'a> {
     /// All machines of the block that can be used now.
-    pub fn whole(scene: &SchedulingSnapshot<'a>) -> Self {
-        let usable = |m: &&Machine| usable(m, scene.now, scene.heard_within);
-        let rooms = scene.machines.iter().filter(|(_, m)| usable(m));
+    pub fn whole(snapshot: &SchedulingSnapshot<'a>) -> Self {
+        let usable = |m: &&Machine| usable(m, snapshot.now, snapshot.heartbeat_timeout);
+        let rooms = snapshot.machines.iter().filter(|(_, m)| usable(m));
         let mut floor = CandidateMachines {
             rooms: rooms.map(|(id, m)| CandidateMachine::new(id, m)).collect(),
             kinds: Vec::new(),
@@ -86,13 +86,14 @@
         };
         for (i, r) in floor.rooms.iter().enumerate() {
             let m = r.machine;
-            let same =
-                |k: &&mut Kind<'_>| k.build == m.build && k.zone == m.zone && k.spot == m.spot;
+            let same = |k: &&mut Kind<'_>| {
+                k.machine_type == m.machine_type && k.zone == m.zone && k.spot == m.spot
+            };
             let kind = match floor.kinds.iter_mut().find(same) {
                 Some(kind) => kind,
                 None => {
                     floor.kinds.push(Kind {
-                        build: &m.build,
+                        machine_type: &m.machine_type,
                         zone: &m.zone,
                         spot: m.spot,
                         most: r.free,
@@ -119,17 +120,17 @@
     }
 
     /// One machine, on which room got free.
-    pub fn one(scene: &SchedulingSnapshot<'a>, id: &'a MachineId) -> Option<Self> {
-        let m = scene.machines.get(id)?;
-        if !usable(m, scene.now, scene.heard_within) {
+    pub fn one(snapshot: &SchedulingSnapshot<'a>, id: &'a MachineId) -> Option<Self> {
+        let m = snapshot.machines.get(id)?;
+        if !usable(m, snapshot.now, snapshot.heartbeat_timeout) {
             return None;
         }
         let mut room = CandidateMachine::new(id, m);
         // Held room stays held while the job that it is for still waits.
-        let waits = |j: &&JobId| scene.jobs.get(*j).is_some_and(|j| !j.waiting.is_empty());
+        let waits = |j: &&JobId| snapshot.jobs.get(*j).is_some_and(|j| !j.waiting.is_empty());
         room.held_for = m.held_for.as_ref().filter(waits);
         let kind = Kind {
-            build: &m.build,
+            machine_type: &m.machine_type,
             zone: &m.zone,
             spot: m.spot,
             most: room.free,
@@ -147,19 +148,19 @@
     /// The machines where a task fits now, the best one last.
     pub(super) fn candidates(
         &mut self,
-        scene: &SchedulingSnapshot<'_>,
+        snapshot: &SchedulingSnapshot<'_>,
         id: &JobId,
         job: &Job,
     ) -> Vec<usize> {
         let d = &*job.desc;
         let (request, image) = (d.request(), d.image_key());
-        let leaves = scene.constrained.leaves(job, scene.day);
+        let leaves = snapshot.constrained.leaves(job, snapshot.wall_clock);
         let mut found: Vec<(f64, usize)> = Vec::new();
         for kind in &self.kinds {
             if !request.fits_in(&kind.most)
-                || !d.allows(kind.build, kind.zone, kind.spot)
-                || leaves.contains(&kind.build)
-                || scene.is_closed(job, kind.zone)
+                || !d.allows(kind.machine_type, kind.zone, kind.spot)
+                || leaves.contains(&kind.machine_type)
+                || snapshot.is_closed(job, kind.zone)
             {
                 continue;
             }
@@ -169,8 +170,8 @@
                 // A job that failed on a machine tries others first.
                 if r.open_to(id)
                     && request.fits_in(&r.free)
-                    && request.fits_in(&r.free_for(id, scene.now))
-                    && !r.machine.avoided_by(id, scene.now)
+                    && request.fits_in(&r.free_for(id, snapshot.now))
+                    && !r.machine.is_avoided_by(id, snapshot.now)
                 {
                     found.push((worth(r, d, image), i));
                 }
@@ -196,7 +197,7 @@
         for (i, r) in self.rooms.iter().enumerate() {
             let m = r.machine;
             if request.fits_in(&m.capacity)
-                && d.allows(&m.build, &m.zone, m.spot)
+                && d.allows(&m.machine_type, &m.zone, m.spot)
                 && zone_allowed(d, zones, &m.zone)
             {
                 found.push((missing(r, &request), i));
@@ -219,7 +220,7 @@
     if r.machine.images.contains(&image) || r.images.contains(&image) {
         worth += 2.0;
     } else {
-        worth -= 0.1 * (d.image_gb / r.machine.fetch.max(0.01)).min(10.0);
+        worth -= 0.1 * (d.image_gb / r.machine.image_fetch_gb_per_s.max(0.01)).min(10.0);
     }
     if r.machine.spot {
         worth += SPOT_FIRST;
--- a/src/placement/needs.rs
+++ b/src/placement/capacity_requests.rs
@@ -4,17 +4,17 @@
 use crate::clock::Micros;
 use crate::fairness::Resources;
 use crate::jobs::{Job, JobDesc, allows_build};
-use crate::workers::Leaving;
+use crate::workers::ReleaseState;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 /// Waiting work of one class.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Need {
+pub struct CapacityRequest {
     /// What a task takes.
     pub request: Resources,
     /// The machine types that are allowed; none: any.
-    pub builds: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     /// The only zone that is allowed; none: any.
     pub zone: Option<String>,
     /// Machines that the cloud may take back will do.
@@ -22,23 +22,23 @@
     /// Tasks' worth of room that is missing.
     pub count: u32,
     /// How long a task runs, in seconds, as its owner estimates.
-    pub estimate_s: f64,
+    pub estimated_run_time_s: f64,
     /// It has waited for so long that machines are rented at once.
     pub waited_long: bool,
 }
 
-impl Need {
+impl CapacityRequest {
     /// Whether such a machine can run a task of it.
-    pub fn fits(&self, build: &str, zone: &str, spot: bool, capacity: &Resources) -> bool {
+    pub fn fits(&self, machine_type: &str, zone: &str, spot: bool, capacity: &Resources) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
-            && allows_build(&self.builds, build)
+            && allows_build(&self.machine_types, machine_type)
             && self.request.fits_in(capacity)
     }
 
-    fn like(&self, o: &Need) -> bool {
+    fn like(&self, o: &CapacityRequest) -> bool {
         self.request == o.request
-            && self.builds == o.builds
+            && self.machine_types == o.machine_types
             && self.zone == o.zone
             && self.spot == o.spot
             && self.waited_long == o.waited_long
@@ -47,11 +47,11 @@
 
 /// Machines on their way that are alike.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ComingMachines<'a> {
+pub struct PendingMachines<'a> {
     /// Of each of them.
     pub capacity: Resources,
     /// Their type.
-    pub build: &'a str,
+    pub machine_type: &'a str,
     /// Their zone.
     pub zone: &'a str,
     /// Whether the cloud may take them back.
@@ -64,12 +64,12 @@
 const LONG: Micros = Micros::from_millis(10_000);
 
 /// Takes from machines on their way what serves a job; returns for how many tasks.
-fn serve(rooms: &mut [ComingMachines<'_>], d: &JobDesc, tasks: u32) -> u32 {
+fn serve(rooms: &mut [PendingMachines<'_>], d: &JobDesc, tasks: u32) -> u32 {
     let request = d.request();
     let mut served = 0;
     for room in rooms {
         let per = request.times_in(&room.capacity);
-        let allowed = d.allows(room.build, room.zone, room.spot);
+        let allowed = d.allows(room.machine_type, room.zone, room.spot);
         if served < tasks && room.count > 0 && per > 0 && allowed {
             let used = (tasks - served).div_ceil(per).min(room.count);
             served += (used * per).min(tasks - served);
@@ -79,17 +79,17 @@
     served
 }
 
-fn add(needs: &mut Vec<Need>, d: &JobDesc, count: u32, waited_long: bool) {
+fn add(needs: &mut Vec<CapacityRequest>, d: &JobDesc, count: u32, waited_long: bool) {
     if count == 0 {
         return;
     }
-    let need = Need {
+    let need = CapacityRequest {
         request: d.request(),
-        builds: d.builds.clone(),
+        machine_types: d.machine_types.clone(),
         zone: d.zone.clone(),
         spot: d.spot,
         count,
-        estimate_s: d.estimate_s,
+        estimated_run_time_s: d.estimated_run_time_s,
         waited_long,
     };
     match needs.iter_mut().find(|n| n.like(&need)) {
@@ -100,24 +100,28 @@
 
 /// The room that the block's waiting work still lacks, after what is booting.
 pub fn needs(
-    scene: &SchedulingSnapshot<'_>,
-    coming: &[ComingMachines<'_>],
+    snapshot: &SchedulingSnapshot<'_>,
+    coming: &[PendingMachines<'_>],
     horizon: Micros,
-) -> Vec<Need> {
+) -> Vec<CapacityRequest> {
     let mut left: BTreeMap<usize, Resources> = BTreeMap::new();
-    for &t in scene.teams {
-        let limit = scene.settings.platform.teams[t].limit();
-        left.insert(t, limit - scene.weights.of(t).used);
+    for &t in snapshot.teams {
+        let limit = snapshot.settings.platform.teams[t].limit();
+        left.insert(t, limit - snapshot.usage.of(t).used);
     }
-    let mut jobs: Vec<&Job> = scene.jobs.values().filter(|j| j.wants_machines()).collect();
-    jobs.sort_by_cached_key(|j| (Reverse(j.rank()), j.slack(scene.day)));
-    let mut jobs = scene.in_evacuation_order(jobs, |job| *job);
-    if let Some(duties) = scene.zones {
-        jobs.retain(|job| duties.may_rent_for(&job.desc.id));
+    let mut jobs: Vec<&Job> = snapshot
+        .jobs
+        .values()
+        .filter(|j| j.wants_machines())
+        .collect();
+    jobs.sort_by_cached_key(|j| (Reverse(j.rank()), j.slack(snapshot.wall_clock)));
+    let mut jobs = snapshot.in_evacuation_order(jobs, |job| *job);
+    if let Some(evacuation) = snapshot.zone_evacuation {
+        jobs.retain(|job| evacuation.may_rent_for(&job.desc.id));
     }
-    let mut rooms: Vec<ComingMachines<'_>> = coming.to_vec();
+    let mut rooms: Vec<PendingMachines<'_>> = coming.to_vec();
     let mut carry = 0.0;
-    let mut needs: Vec<Need> = Vec::new();
+    let mut needs: Vec<CapacityRequest> = Vec::new();
     for job in jobs {
         let d = &job.desc;
         let request = d.request();
@@ -126,17 +130,17 @@
             .map_or(0, |l| request.times_in(l).min(job.waiting.len()))
             .min(job.startable());
         // Short tasks run one after another in the time that a boot takes.
-        let estimate = Micros::from_secs(d.estimate_s).0 as f64;
+        let estimate = Micros::from_secs(d.estimated_run_time_s).0 as f64;
         let part = (estimate / horizon.0.max(1) as f64).min(1.0);
-        let waited_long = scene.day.since(job.since) >= LONG;
+        let waited_long = snapshot.wall_clock.since(job.eligible_since) >= LONG;
         // What is left of one job's part counts with the next one's; nobody waits
         // for ever because his part is small.
         let exact = f64::from(room) * part * job.choice.rent + carry;
         // Where it has no machine at all, nothing will get free for it.
-        let nowhere = !scene.machines.values().any(|m| {
-            m.leaving == Leaving::No
+        let nowhere = !snapshot.machines.values().any(|m| {
+            m.release_state == ReleaseState::Active
                 && !m.draining
-                && d.allows(&m.build, &m.zone, m.spot)
+                && d.allows(&m.machine_type, &m.zone, m.spot)
                 && request.fits_in(&m.capacity)
         });
         if job.fails() && !nowhere {
--- a/src/placement/constrained.rs
+++ b/src/placement/constrained.rs
@@ -45,23 +45,23 @@
     fn fitting(&self, d: &JobDesc) -> Vec<bool> {
         let request = d.request();
         let fits = |(name, capacity): &(String, Resources)| {
-            request.fits_in(capacity) && allows_build(&d.builds, name)
+            request.fits_in(capacity) && allows_build(&d.machine_types, name)
         };
         self.types.iter().map(fits).collect()
     }
 
     /// The classes that wait now, of teams that may have more.
-    pub fn waiting(&self, scene: &SchedulingSnapshot<'_>, queues: &Queues) -> Vec<Vec<bool>> {
+    pub fn waiting(&self, snapshot: &SchedulingSnapshot<'_>, queues: &Queues) -> Vec<Vec<bool>> {
         let mut waiting: Vec<Vec<bool>> = Vec::new();
         for (t, queue) in queues {
-            let limit = scene.settings.platform.teams[*t].limit();
+            let limit = snapshot.settings.platform.teams[*t].limit();
             for job in queue
                 .iter()
                 .rev()
                 .take(MOST)
-                .filter_map(|q| scene.jobs.get(&q.id))
+                .filter_map(|q| snapshot.jobs.get(&q.id))
             {
-                let mut after = scene.weights.of(*t).used;
+                let mut after = snapshot.usage.of(*t).used;
                 after += job.desc.request();
                 let fits = self.fitting(&job.desc);
                 if after.fits_in(&limit) && !fits.iter().all(|f| *f) && !waiting.contains(&fits) {
@@ -78,8 +78,8 @@
     }
 
     /// The types of machines that a job leaves to others for now.
-    pub fn leaves(&self, job: &Job, day: Micros) -> Vec<&str> {
-        if can_wait(job, day) {
+    pub fn leaves(&self, job: &Job, wall_clock: Micros) -> Vec<&str> {
+        if can_wait(job, wall_clock) {
             self.wanted(&job.desc)
         } else {
             Vec::new()
@@ -107,17 +107,17 @@
     }
 }
 
-fn can_wait(job: &Job, day: Micros) -> bool {
+fn can_wait(job: &Job, wall_clock: Micros) -> bool {
     // Others wait for its end: what it waits, the whole pipeline does.
     if job.is_awaited() {
         return false;
     }
-    match (job.starts_within, job.desc.due_s) {
-        (Some(within), _) => day.since(job.since) < within.part(PART),
-        (None, Some(_)) => job.slack(day) > SLACK_US,
+    match (job.start_latency_objective, job.desc.deadline_s) {
+        (Some(within), _) => wall_clock.since(job.eligible_since) < within.part(PART),
+        (None, Some(_)) => job.slack(wall_clock) > SLACK_US,
         // Guards against small background tasks spread over machines of which others need
         // the whole: as long as the job gets on elsewhere, it can wait for the rest.
-        (None, None) => day.since(job.last_start) < GETS_ON,
+        (None, None) => wall_clock.since(job.last_start) < GETS_ON,
     }
 }
 
--- a/src/placement/constrained/tests.rs
+++ b/src/placement/constrained/tests.rs
@@ -6,7 +6,7 @@
 fn what_has_a_choice_leaves_the_large_machines_to_what_has_none() {
     let mut constrained = ConstrainedDemand::new(&types());
     let mut small = Job::new(&rec("j-1", 4, Term(1)), Revision(1), 0, 64);
-    small.starts_within = Some(Micros::from_secs(70.0));
+    small.start_latency_objective = Some(Micros::from_secs(70.0));
     let soon = Micros::from_secs(5.0);
     assert!(constrained.leaves(&small, soon).is_empty(), "nothing waits");
     // 8 cores fit the big machines only.
@@ -18,11 +18,11 @@
             .is_empty(),
         "not for ever"
     );
-    small.starts_within = Some(Micros::from_secs(3.0));
+    small.start_latency_objective = Some(Micros::from_secs(3.0));
     assert!(constrained.leaves(&small, soon).is_empty(), "it can't wait");
     // Without objective or deadline it leaves them as long as it gets on elsewhere.
     let mut background = rec("j-3", 4, Term(1));
-    background.desc.due_s = None;
+    background.desc.deadline_s = None;
     let mut background = Job::new(&background, Revision(1), 0, 64);
     let later = Micros::from_secs(100.0);
     assert!(constrained.leaves(&background, later).is_empty());
@@ -32,6 +32,6 @@
     let mut large = rec("j-2", 4, Term(1));
     large.desc.cores = 8.0;
     let mut large = Job::new(&large, Revision(1), 0, 64);
-    large.starts_within = Some(Micros::from_secs(70.0));
+    large.start_latency_objective = Some(Micros::from_secs(70.0));
     assert!(constrained.leaves(&large, soon).is_empty());
 }
--- a/src/placement/preempt.rs
+++ b/src/placement/preempt.rs
@@ -3,9 +3,9 @@
 
 use super::{SchedulingSnapshot, launchable, usable};
 use crate::clock::Micros;
-use crate::fairness::{Resources, Weights};
+use crate::fairness::{Resources, UsageByTeam};
 use crate::ids::{JobId, MachineId};
-use crate::jobs::{Job, Rank};
+use crate::jobs::{Job, Priority};
 use crate::settings::Team;
 use crate::workers::{Attempt, AttemptKey, Machine, Phase, Reserved};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,7 +23,7 @@
 
 /// What a pass over the waiting work decided to stop.
 #[derive(Debug, Default)]
-pub struct Preemption {
+pub struct PreemptionPlan {
     /// What to stop, by machine.
     pub stops: Vec<Stop>,
     /// Machines compared with a job: what the pass cost.
@@ -45,13 +45,15 @@
 
 /// Whether stopping others still helps a job, and waiting longer would not do:
 /// its deadline is near but not lost, or it has none and has waited for long.
-fn pressed(job: &Job, day: Micros) -> bool {
-    let waited = day.since(job.since);
+fn pressed(job: &Job, wall_clock: Micros) -> bool {
+    let waited = wall_clock.since(job.eligible_since);
     match (hasty(job), job.due()) {
-        (Some(within), _) if job.slack(day) >= -LATE_US => waited >= within.part(0.3),
-        (_, Some(_)) => (-LATE_US..PRESSED_US).contains(&job.slack(day)),
+        (Some(within), _) if job.slack(wall_clock) >= -LATE_US => waited >= within.part(0.3),
+        (_, Some(_)) => (-LATE_US..PRESSED_US).contains(&job.slack(wall_clock)),
         (_, None) => {
-            let half = job.starts_within.map_or(Micros::ZERO, |w| w.part(0.5));
+            let half = job
+                .start_latency_objective
+                .map_or(Micros::ZERO, |w| w.part(0.5));
             waited >= PATIENCE.max(half)
         }
     }
@@ -60,12 +62,12 @@
 /// The time within which a job should start, if that is sooner than room gets free
 /// by itself or a machine boots.
 fn hasty(job: &Job) -> Option<Micros> {
-    job.starts_within.filter(|w| *w <= PATIENCE)
+    job.start_latency_objective.filter(|w| *w <= PATIENCE)
 }
 
 /// Whether a job can stand that a task of it is stopped.
-fn relaxed(job: &Job, ran: Micros, day: Micros, hasty: bool) -> bool {
-    let left = job.slack(day) + ran.0 as i64;
+fn relaxed(job: &Job, ran: Micros, wall_clock: Micros, hasty: bool) -> bool {
+    let left = job.slack(wall_clock) + ran.0 as i64;
     // One that waits for room itself gets it back late, and would be stopped again
     // and again: stopping helps where room is short for a moment, not all the time.
     let least = match (hasty, job.waiting.is_empty()) {
@@ -85,18 +87,23 @@
 /// What stopping an attempt loses, in core-seconds; none: it is left alone.
 fn loss(t: &Attempt, now: Micros) -> Option<(f64, f64)> {
     let d = t.desc.as_ref()?;
-    if t.halt.is_some()
+    if t.stop_grace_period_s.is_some()
         || t.abandoned.is_some()
         || !matches!(t.phase, Phase::Pulling | Phase::Running)
     {
         return None;
     }
     let ran = t.running_since.map_or(0.0, |r| now.since(r).as_secs());
-    if t.running_since.is_some() && d.estimate_s - ran < NEARLY_DONE_S + d.save_s {
+    if t.running_since.is_some()
+        && d.estimated_run_time_s - ran < NEARLY_DONE_S + d.checkpoint_duration_s
+    {
         return None;
     }
-    let (lost, leeway) = if d.checkpoint_s > 0.0 {
-        (d.save_s.min(ran), d.save_s + 1.0)
+    let (lost, leeway) = if d.checkpoint_interval_s > 0.0 {
+        (
+            d.checkpoint_duration_s.min(ran),
+            d.checkpoint_duration_s + 1.0,
+        )
     } else {
         (ran, 0.0)
     };
@@ -106,58 +113,63 @@
 /// Decides what to stop: for work of a higher rank, or so that a team gets its
 /// guarantee from one that runs above its own. Only if little is lost for what is
 /// won (`WORTH_IT`).
-pub fn preempt(scene: &SchedulingSnapshot<'_>) -> Preemption {
-    let mut jobs: Vec<(&JobId, &Job)> = scene
+pub fn preempt(snapshot: &SchedulingSnapshot<'_>) -> PreemptionPlan {
+    let mut jobs: Vec<(&JobId, &Job)> = snapshot
         .jobs
         .iter()
-        .filter(|(_, j)| launchable(j, scene.now, scene.recovery) && pressed(j, scene.day))
+        .filter(|(_, j)| {
+            launchable(j, snapshot.now, snapshot.recovery) && pressed(j, snapshot.wall_clock)
+        })
         // Where its tasks may go changes with each; it waits for its turn.
-        .filter(|(_, j)| !j.desc.one_zone && !j.desc.apart)
+        .filter(|(_, j)| !j.desc.single_zone && !j.desc.anti_affinity)
         .collect();
     if jobs.is_empty() {
-        return Preemption::default();
+        return PreemptionPlan::default();
     }
     // Guards against walks over all machines for work that may stop nothing there: with
     // the fleet full they took most of the holder's processor time, until it could not
     // read its machines' reports.
-    let lowest = lowest_running(scene);
-    jobs.retain(|(_, j)| lowest.is_some_and(|l| l < j.rank()) || guaranteed(scene, j));
+    let lowest = lowest_running(snapshot);
+    jobs.retain(|(_, j)| lowest.is_some_and(|l| l < j.rank()) || guaranteed(snapshot, j));
     if jobs.is_empty() {
-        return Preemption::default();
+        return PreemptionPlan::default();
     }
     let mut machines_compared = 0;
-    let mut weights = scene.weights.clone();
-    let heavy: BTreeMap<usize, f64> = scene
+    let mut weights = snapshot.usage.clone();
+    let heavy: BTreeMap<usize, f64> = snapshot
         .teams
         .iter()
-        .map(|t| (*t, scene.heaviness(&weights, *t)))
+        .map(|t| (*t, snapshot.heaviness(&weights, *t)))
         .collect();
     jobs.sort_by(|(_, a), (_, b)| {
         let heavy = |j: &Job| heavy.get(&j.team).copied().unwrap_or(0.0);
         b.rank()
             .cmp(&a.rank())
             .then(heavy(a).total_cmp(&heavy(b)))
-            .then(a.slack(scene.day).cmp(&b.slack(scene.day)))
+            .then(
+                a.slack(snapshot.wall_clock)
+                    .cmp(&b.slack(snapshot.wall_clock)),
+            )
     });
     jobs.truncate(MOST_JOBS);
     let mut stops: Vec<Stop> = Vec::new();
     let mut gone: BTreeSet<AttemptKey> = BTreeSet::new();
     let mut free: BTreeMap<&MachineId, Resources> = BTreeMap::new();
-    for (id, m) in scene
+    for (id, m) in snapshot
         .machines
         .iter()
-        .filter(|(_, m)| usable(m, scene.now, scene.heard_within))
+        .filter(|(_, m)| usable(m, snapshot.now, snapshot.heartbeat_timeout))
     {
         let mut room = m.capacity - m.load.summed;
         // What is being stopped was stopped for someone.
         for t in m
             .attempts
             .values()
-            .filter(|t| t.halt.is_some() && t.phase != Phase::Exited)
+            .filter(|t| t.stop_grace_period_s.is_some() && t.phase != Phase::Exited)
         {
             room += t.request();
         }
-        for r in m.reserved.iter().filter(|r| r.until > scene.now) {
+        for r in m.reserved.iter().filter(|r| r.until > snapshot.now) {
             room -= r.request.scale(f64::from(r.count));
         }
         free.insert(id, room);
@@ -165,29 +177,29 @@
     for (id, job) in jobs {
         let d = &job.desc;
         let request = d.request();
-        let limits = &scene.settings.platform.teams[job.team];
+        let limits = &snapshot.settings.platform.teams[job.team];
         let reserved = |m: &Machine| -> u32 {
             m.reserved
                 .iter()
-                .filter(|r| r.job == *id && r.until > scene.now)
+                .filter(|r| r.job == *id && r.until > snapshot.now)
                 .map(|r| r.count)
                 .sum()
         };
-        let coming: u32 = scene.machines.values().map(reserved).sum();
+        let coming: u32 = snapshot.machines.values().map(reserved).sum();
         let mut used = weights.of(job.team).used;
         used += request.scale(f64::from(coming));
         let mut pending = request
             .times_in(&(limits.limit() - used))
             .min(job.waiting.len().saturating_sub(coming));
         let allowed = |m: &Machine| {
-            d.allows(&m.build, &m.zone, m.spot)
-                && !m.avoided_by(id, scene.now)
-                && !scene.is_closed(job, &m.zone)
+            d.allows(&m.machine_type, &m.zone, m.spot)
+                && !m.is_avoided_by(id, snapshot.now)
+                && !snapshot.is_closed(job, &m.zone)
         };
         // Room that another's stop left over.
         for (m, room) in &mut free {
             let n = request.times_in(room).min(pending);
-            if n > 0 && allowed(&scene.machines[*m]) {
+            if n > 0 && allowed(&snapshot.machines[*m]) {
                 *room -= request.scale(f64::from(n));
                 pending -= n;
             }
@@ -201,11 +213,13 @@
         let mut plans: Vec<Plan<'_>> = free
             .iter()
             .filter(|(m, _)| {
-                let m = &scene.machines[**m];
+                let m = &snapshot.machines[**m];
                 allowed(m) && request.fits_in(&m.capacity)
             })
             .filter_map(|(m, room)| {
-                victims(scene, &weights, m, *room, job, pending, guaranteed, &gone)
+                victims(
+                    snapshot, &weights, m, *room, job, pending, guaranteed, &gone,
+                )
             })
             .collect();
         plans.sort_by(|a, b| a.price.total_cmp(&b.price));
@@ -213,7 +227,7 @@
             if pending == 0 {
                 break;
             }
-            let m = &scene.machines[plan.machine];
+            let m = &snapshot.machines[plan.machine];
             let Some(room) = free.get_mut(plan.machine) else {
                 continue;
             };
@@ -223,7 +237,7 @@
             for (key, _) in &plan.victims {
                 if let Some(t) = m.attempts.get(key) {
                     *room += t.request();
-                    if let Some((team, request)) = t.takes {
+                    if let Some((team, request)) = t.demand {
                         load.take(team, request.scale(-1.0));
                     }
                 }
@@ -236,7 +250,7 @@
                 job: id.clone(),
                 request,
                 count,
-                until: scene.now + KEPT,
+                until: snapshot.now + KEPT,
             };
             stops.push(Stop {
                 machine: plan.machine.clone(),
@@ -245,22 +259,22 @@
             });
         }
     }
-    Preemption {
+    PreemptionPlan {
         stops,
         machines_compared,
     }
 }
 
 /// The lowest rank of which anything is on a machine.
-fn lowest_running(scene: &SchedulingSnapshot<'_>) -> Option<Rank> {
-    let running = scene.jobs.values().filter(|j| !j.active.is_empty());
+fn lowest_running(snapshot: &SchedulingSnapshot<'_>) -> Option<Priority> {
+    let running = snapshot.jobs.values().filter(|j| !j.active.is_empty());
     running.map(Job::rank).min()
 }
 
 /// Whether one more task of a job is within its team's guarantee.
-fn guaranteed(scene: &SchedulingSnapshot<'_>, job: &Job) -> bool {
-    let team = &scene.settings.platform.teams[job.team];
-    let used = scene.weights.of(job.team).used;
+fn guaranteed(snapshot: &SchedulingSnapshot<'_>, job: &Job) -> bool {
+    let team = &snapshot.settings.platform.teams[job.team];
+    let used = snapshot.usage.of(job.team).used;
     within_guarantee(team, used, job.desc.request())
 }
 
@@ -272,7 +286,7 @@
     let guarantee = team.guarantee();
     after.fits_in(&Resources::new(
         guarantee.cores,
-        guarantee.cards,
+        guarantee.gpus,
         f64::INFINITY,
     ))
 }
@@ -287,8 +301,8 @@
 
 #[allow(clippy::too_many_arguments)]
 fn victims<'a>(
-    scene: &SchedulingSnapshot<'_>,
-    weights: &Weights,
+    snapshot: &SchedulingSnapshot<'_>,
+    weights: &UsageByTeam,
     machine: &'a MachineId,
     room: Resources,
     job: &Job,
@@ -296,30 +310,35 @@
     guaranteed: bool,
     gone: &BTreeSet<AttemptKey>,
 ) -> Option<Plan<'a>> {
-    let (m, d) = (scene.machines.get(machine)?, &job.desc);
+    let (m, d) = (snapshot.machines.get(machine)?, &job.desc);
     let request = d.request();
     let may = |t: &Attempt| {
         let Some(v) = &t.desc else { return false };
-        let ran = t.running_since.map_or(Micros::ZERO, |r| scene.now.since(r));
-        let owner = scene.jobs.get(&v.id);
-        if owner.is_some_and(|j| !relaxed(j, ran, scene.day, hasty(job).is_some())) {
+        let ran = t
+            .running_since
+            .map_or(Micros::ZERO, |r| snapshot.now.since(r));
+        let owner = snapshot.jobs.get(&v.id);
+        if owner.is_some_and(|j| !relaxed(j, ran, snapshot.wall_clock, hasty(job).is_some())) {
             return false;
         }
-        if owner.map_or(v.rank, Job::rank) < job.rank() {
+        if owner.map_or(v.priority, Job::rank) < job.rank() {
             return true;
         }
         // Work that another team runs above its own guarantee.
-        let above = t.takes.filter(|(v, _)| *v != job.team).map(|(v, request)| {
-            let g = scene.settings.platform.teams[v].guarantee();
-            (weights.of(v).used - request).cores >= g.cores
-        });
+        let above = t
+            .demand
+            .filter(|(v, _)| *v != job.team)
+            .map(|(v, request)| {
+                let g = snapshot.settings.platform.teams[v].guarantee();
+                (weights.of(v).used - request).cores >= g.cores
+            });
         guaranteed && above == Some(true)
     };
     let mut candidates: Vec<(&AttemptKey, &Attempt, f64, f64)> = m
         .attempts
         .iter()
         .filter(|(k, t)| !gone.contains(k) && may(t))
-        .filter_map(|(k, t)| loss(t, scene.now).map(|(lost, leeway)| (k, t, lost, leeway)))
+        .filter_map(|(k, t)| loss(t, snapshot.now).map(|(lost, leeway)| (k, t, lost, leeway)))
         .collect();
     candidates.sort_by(|a, b| a.2.total_cmp(&b.2));
     let (mut room, mut lost, mut victims) = (room, 0.0, Vec::new());
@@ -332,7 +351,7 @@
         }
     }
     let count = request.times_in(&room).min(pending);
-    let won = f64::from(count) * d.cores.max(0.1) * d.estimate_s.max(1.0);
+    let won = f64::from(count) * d.cores.max(0.1) * d.estimated_run_time_s.max(1.0);
     let worth = if hasty(job).is_some() {
         WORTH_HASTE
     } else {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -4,7 +4,7 @@
 pub mod lang;
 
 use crate::clock::Micros;
-use crate::jobs::{JobDesc, Rank};
+use crate::jobs::{JobDesc, Priority};
 use crate::settings::Settings;
 use lang::{Expr, Kind, PolicyError, SourcePosition, Value, fail};
 use rockdeal_types::suggestion::nearest;
@@ -108,11 +108,11 @@
 
 /// What expressions may ask of a job.
 pub(crate) fn job_value(d: &JobDesc, name: &str) -> Option<Value> {
-    let rank = match d.rank {
-        Rank::Idle => "idle",
-        Rank::Standard => "standard",
-        Rank::High => "high",
-        Rank::Production => "production",
+    let rank = match d.priority {
+        Priority::Idle => "idle",
+        Priority::Standard => "standard",
+        Priority::High => "high",
+        Priority::Production => "production",
     };
     let text = |t: &str| Value::Text(t.to_owned());
     Some(match name {
@@ -121,11 +121,11 @@
         "rank" => text(rank),
         "tasks" => Value::Number(f64::from(d.tasks)),
         "cores" => Value::Number(d.cores),
-        "memory_gb" => Value::Number(d.mem),
+        "memory_gb" => Value::Number(d.memory_gb),
         "image_gb" => Value::Number(d.image_gb),
-        "estimate_s" => Value::Number(d.estimate_s),
-        "due_s" => Value::Number(d.due_s.unwrap_or(0.0)),
-        "has_deadline" => Value::Truth(d.due_s.is_some()),
+        "estimate_s" => Value::Number(d.estimated_run_time_s),
+        "due_s" => Value::Number(d.deadline_s.unwrap_or(0.0)),
+        "has_deadline" => Value::Truth(d.deadline_s.is_some()),
         _ => return None,
     })
 }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -124,15 +124,15 @@
     ];
     assert_eq!(times.map(Micros::as_secs), [102.0, 103.0, 104.0, 105.0]);
     let mut job = desc("j-1", 4);
-    job.mem = 4.5;
+    job.memory_gb = 4.5;
     let JobChoice { weight, rent, spot } = p.job(&job);
     assert_eq!((p.block_load, weight, rent, spot), (101.0, 3.0, 2.0, false));
     for (name, rank) in [
-        ("idle", Rank::Idle),
-        ("standard", Rank::Standard),
-        ("production", Rank::Production),
+        ("idle", Priority::Idle),
+        ("standard", Priority::Standard),
+        ("production", Priority::Production),
     ] {
-        job.rank = rank;
+        job.priority = rank;
         let p = Policy::parse(&format!("spot = rank != \"{name}\";"), &s).expect("fine");
         assert!(!p.job(&job).spot, "{name}");
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -142,23 +142,23 @@
     }
 
     /// Requests in a second that are allowed before and after the limits change.
-    pub fn lasting_rps(&self) -> f64 {
+    pub fn lowest_rps(&self) -> f64 {
         self.next_or(|n| n.rps, self.rps).min(self.rps)
     }
 
     /// Changes in a second that are allowed before and after the limits change.
-    pub fn lasting_write_rps(&self) -> f64 {
+    pub fn lowest_write_rps(&self) -> f64 {
         let next = self.next_or(|n| n.write_rps, self.write_rps);
         next.min(self.write_rps)
     }
 
     /// Changes in a transaction that are allowed before and after the limits change.
-    pub fn lasting_txn_ops(&self) -> usize {
+    pub fn lowest_txn_ops(&self) -> usize {
         self.next_or(|n| n.txn_ops, self.txn_ops).min(self.txn_ops)
     }
 
     /// What a value may hold before and after the limits change, in bytes.
-    pub fn lasting_value_bytes(&self) -> usize {
+    pub fn lowest_value_bytes(&self) -> usize {
         let next = self.next_or(|n| n.value_kb, self.value_kb);
         (next.min(self.value_kb) * 1024.0) as usize
     }
@@ -188,7 +188,7 @@
 
 /// What is expected of a class; kinds that are not known here are ignored.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Objective {
+pub struct ServiceLevelObjective {
     /// What is counted.
     pub kind: String,
     /// The class of jobs that it is about.
@@ -211,7 +211,7 @@
     pub teams: Vec<Team>,
     /// What users expect.
     #[serde(default)]
-    pub objectives: Vec<Objective>,
+    pub objectives: Vec<ServiceLevelObjective>,
     /// The workers' times.
     pub workers: WorkerTimes,
     /// The limits of the state service.
@@ -324,8 +324,8 @@
             ("state.rps", p.state.rps),
             ("state.write_rps", p.state.write_rps),
             ("state.value_kb", p.state.value_kb),
-            ("state.next.rps", p.state.lasting_rps()),
-            ("state.next.write_rps", p.state.lasting_write_rps()),
+            ("state.next.rps", p.state.lowest_rps()),
+            ("state.next.write_rps", p.state.lowest_write_rps()),
             ("cloud.rps", p.cloud.rps),
             ("cloud.list_lag_s", p.cloud.list_lag_s),
         ];
@@ -363,12 +363,12 @@
         if p.state.next.is_none() {
             return Ok(());
         }
-        if p.state.lasting_txn_ops() < LEAST_TXN_OPS {
+        if p.state.lowest_txn_ops() < LEAST_TXN_OPS {
             return Err(format!(
                 "state.next.txn_ops must be at least {LEAST_TXN_OPS}"
             ));
         }
-        let most = p.state.lasting_value_bytes();
+        let most = p.state.lowest_value_bytes();
         let names = p.teams.iter().map(|t| t.name.len() + TEAM_BYTES);
         let least = LEAST_VALUE_BYTES.max(HOLDER_BYTES + names.sum::<usize>());
         if most < least {
@@ -396,27 +396,28 @@
     }
 
     /// How long after it sent a renewal a controller may still act.
-    pub fn act_for(&self) -> Micros {
+    pub fn lease_validity(&self) -> Micros {
         let lease = self.raw_lease_s();
         Micros::from_secs(lease * (1.0 - DRIFT) - (lease * 0.15).min(1.0))
     }
 
     /// After this time without an answer, a worker has surely ended its tasks.
-    pub fn worker_over(&self) -> Micros {
+    pub fn worker_lease_timeout(&self) -> Micros {
         Micros::from_secs(self.platform.workers.lease_s * (1.0 + DRIFT) + 1.0)
     }
 
     /// How many changes a transaction of ours has at most: one that takes much of a
     /// second's changes is refused again and again while others write.
-    pub fn most_changes(&self) -> usize {
+    pub fn max_mutations(&self) -> usize {
         let state = &self.platform.state;
-        let part = (state.lasting_write_rps() / 4.0) as usize;
-        state.lasting_txn_ops().min(part.max(LEAST_TXN_OPS))
+        let part = (state.lowest_write_rps() / 4.0) as usize;
+        state.lowest_txn_ops().min(part.max(LEAST_TXN_OPS))
     }
 
     /// Within what time tasks of a class should start, if an objective says so.
-    pub fn starts_within(&self, class: &str) -> Option<Micros> {
-        let of_class = |o: &&Objective| o.kind == "wait" && o.class.as_deref() == Some(class);
+    pub fn start_latency_objective(&self, class: &str) -> Option<Micros> {
+        let of_class =
+            |o: &&ServiceLevelObjective| o.kind == "wait" && o.class.as_deref() == Some(class);
         let waits = self.platform.objectives.iter().filter(of_class);
         let least = waits.filter_map(|o| o.within_s).reduce(f64::min)?;
         Some(Micros::from_secs(least))
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -73,9 +73,9 @@
     };
     let lasting = |s: &Settings| {
         let state = &s.platform.state;
-        let bytes = state.lasting_value_bytes();
-        let rates = (state.lasting_rps(), state.lasting_write_rps());
-        (bytes, state.lasting_txn_ops(), rates)
+        let bytes = state.lowest_value_bytes();
+        let rates = (state.lowest_rps(), state.lowest_write_rps());
+        (bytes, state.lowest_txn_ops(), rates)
     };
     let today = (16 * 1024, 16, (100.0, 30.0));
     assert_eq!(lasting(&settings()), today);
@@ -87,7 +87,7 @@
     let all = serde_json::json!({"value_kb": 2.0, "txn_ops": 5, "rps": 60.0, "write_rps": 21.0});
     let all = with(all);
     assert_eq!(lasting(&all), (2048, 5, (60.0, 21.0)));
-    assert_eq!((all.check(), all.most_changes()), (Ok(()), 5));
+    assert_eq!((all.check(), all.max_mutations()), (Ok(()), 5));
     let larger = serde_json::json!({"value_kb": 64.0, "txn_ops": 48, "write_rps": 90.0});
     assert_eq!(lasting(&with(larger)), today);
 }
@@ -168,13 +168,16 @@
     let of = |t: &Team| (t.name.clone(), [t.cpus, t.cpus_max, t.gpus, t.gpus_max]);
     assert_eq!(of(&p.teams[0]), ("red".into(), [8.5, 16.5, 1.5, 2.5]));
     assert_eq!(of(&p.teams[1]), ("guest".into(), [0.0; 4]));
-    let of = |o: &Objective| (o.kind.clone(), o.class.clone(), o.within_s);
+    let of = |o: &ServiceLevelObjective| (o.kind.clone(), o.class.clone(), o.within_s);
     assert_eq!(
         of(&p.objectives[0]),
         ("wait".into(), Some("train".into()), Some(12.5))
     );
     assert_eq!(of(&p.objectives[1]), ("new".into(), None, None));
-    assert_eq!(s.starts_within("train"), Some(Micros::from_secs(12.5)));
+    assert_eq!(
+        s.start_latency_objective("train"),
+        Some(Micros::from_secs(12.5))
+    );
     let w = &p.workers;
     assert_eq!([w.report_s, w.lease_s, w.cancel_s], [3.5, 31.5, 61.5]);
     let now = &p.state;
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,7 +1,7 @@
 //! HTTP to the state service, within this controller's share of its budget.
 
-use super::{Change, Cond, Op, ROOT, Reply, Request, Row, Urgency};
-use crate::clock::{Micros, Steady};
+use super::{Compare, KeyValue, Mutation, ROOT, Reply, Request, RequestPriority, WatchEvent};
+use crate::clock::{Micros, MonotonicClock};
 use crate::controller::http::{Failure, HttpRequest, Pool};
 use crate::ids::{LeaseId, Revision};
 use crate::settings::StateLimits;
@@ -13,16 +13,16 @@
 
 /// A bucket that refills at a steady rate; burst: one second's worth.
 #[derive(Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     level: f64,
     at: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket of this rate, in units a second.
     pub fn new(rate: f64, now: Micros) -> Self {
-        Bucket {
+        TokenBucket {
             rate,
             level: rate,
             at: now,
@@ -53,8 +53,8 @@
 /// as the service refuses a request for its limit. Guards against a holder that may use
 /// only its even share of the changes while the other controllers need almost none.
 #[derive(Debug)]
-pub struct AdaptiveBucket {
-    bucket: Bucket,
+pub struct AdaptiveTokenBucket {
+    bucket: TokenBucket,
     least: f64,
     most: f64,
     /// The highest rate once the service has refused a request for its limit.
@@ -70,13 +70,13 @@
 /// Refusals this soon after one say nothing new.
 const FALL_GAP: Micros = Micros::from_millis(500);
 
-impl AdaptiveBucket {
+impl AdaptiveTokenBucket {
     /// A bucket that begins at its least rate. A refusal says that the coming limit may
     /// hold by now: from then on it rises to `most_refused` only. Guards against a bucket
     /// that goes on rising above a limit that has fallen, so that all are refused.
     pub fn new(least: f64, most: f64, most_refused: f64, now: Micros) -> Self {
-        AdaptiveBucket {
-            bucket: Bucket::new(least, now),
+        AdaptiveTokenBucket {
+            bucket: TokenBucket::new(least, now),
             least,
             most: most.max(least),
             most_refused: most_refused.max(least),
@@ -109,17 +109,17 @@
 }
 
 struct Budget {
-    requests: Bucket,
-    writes: AdaptiveBucket,
+    requests: TokenBucket,
+    writes: AdaptiveTokenBucket,
 }
 
 /// A handle for asking the state service; cheap to clone.
 #[derive(Clone)]
-pub struct Store {
+pub struct KvClient {
     pool: Rc<Pool>,
     budget: Rc<RefCell<Budget>>,
     value_bytes: usize,
-    clock: Steady,
+    clock: MonotonicClock,
 }
 
 /// Nobody waits longer than this for the store.
@@ -137,62 +137,65 @@
 const WAIT: Duration = Duration::from_millis(40);
 
 #[derive(Deserialize)]
-struct Ledger {
-    ledger: u64,
+struct CommittedBody {
+    #[serde(rename = "ledger")]
+    revision: u64,
 }
 #[derive(Deserialize)]
-struct Failed {
+struct ConflictBody {
     failed: Vec<String>,
 }
 #[derive(Deserialize)]
-struct Leased {
+struct LeaseBody {
     #[serde(rename = "tenure")]
     lease_id: LeaseId,
 }
 #[derive(Deserialize)]
-struct Rows {
-    rows: Vec<Row>,
+struct PageBody {
+    rows: Vec<KeyValue>,
     #[serde(default)]
     more: bool,
-    ledger: u64,
+    #[serde(rename = "ledger")]
+    revision: u64,
 }
 #[derive(Deserialize)]
-struct Log {
-    ledger: u64,
-    log: Vec<Change>,
+struct WatchBody {
+    #[serde(rename = "ledger")]
+    revision: u64,
+    log: Vec<WatchEvent>,
 }
 
-impl Store {
+impl KvClient {
     /// `share` of the service's limits is this controller's.
-    pub fn new(pool: Rc<Pool>, clock: Steady, limits: &StateLimits, share: f64) -> Self {
+    pub fn new(pool: Rc<Pool>, clock: MonotonicClock, limits: &StateLimits, share: f64) -> Self {
         let now = clock.now();
         let part = (share * OVERBOOKED).min(1.0);
-        let lasting = limits.lasting_write_rps();
+        let lasting = limits.lowest_write_rps();
         let budget = Budget {
-            requests: Bucket::new(limits.lasting_rps() * part, now),
-            writes: AdaptiveBucket::new(
+            requests: TokenBucket::new(limits.lowest_rps() * part, now),
+            writes: AdaptiveTokenBucket::new(
                 lasting * part,
                 limits.write_rps * MOST_PART,
                 lasting * MOST_PART,
                 now,
             ),
         };
-        Store {
+        KvClient {
             pool,
             budget: Rc::new(RefCell::new(budget)),
-            value_bytes: limits.lasting_value_bytes(),
+            value_bytes: limits.lowest_value_bytes(),
             clock,
         }
     }
 
-    fn admit(&self, urgency: Urgency, writes: usize) -> bool {
+    fn admit(&self, priority: RequestPriority, writes: usize) -> bool {
         let now = self.clock.now();
         let mut b = self.budget.borrow_mut();
         // Renewals are never refused here; the rest leaves room for them.
-        let keep = match urgency {
-            Urgency::Vital => -1.0,
-            Urgency::Prompt => 0.1,
-            Urgency::Spare => 0.35,
+        let keep = match priority {
+            RequestPriority::Critical => -1.0,
+            RequestPriority::Normal => 0.1,
+            RequestPriority::Background => 0.35,
         };
         if writes > 0 && !b.writes.take(now, writes as f64, keep) {
             return false;
@@ -201,37 +204,37 @@
     }
 
     /// Asks, waiting a little for the budget where it is used up.
-    pub async fn ask(&self, request: Request, urgency: Urgency) -> Reply {
+    pub async fn ask(&self, request: Request, priority: RequestPriority) -> Reply {
         let writes = match &request {
-            Request::Txn { ops, .. } => {
+            Request::CompareAndSwap { mutations, .. } => {
                 // It would be refused for its size, now or under the coming limits: it is
                 // not sent at all.
-                if let Some((key, bytes)) = oversize(ops, self.value_bytes) {
+                if let Some((key, bytes)) = oversize(mutations, self.value_bytes) {
                     tracing::error!(key, bytes, "a value is too large to be written");
-                    return Reply::Refused;
+                    return Reply::Rejected;
                 }
-                ops.len()
+                mutations.len()
             }
             _ => 0,
         };
         let until = self.clock.now() + Micros::from_millis(800);
         loop {
-            if self.admit(urgency, writes) {
+            if self.admit(priority, writes) {
                 match self.send(&request).await {
                     Sent::OverLimit if writes > 0 => {
                         self.budget.borrow_mut().writes.over_limit(self.clock.now());
-                        if urgency == Urgency::Spare {
-                            return Reply::Refused;
+                        if priority == RequestPriority::Background {
+                            return Reply::Rejected;
                         }
                     }
                     // Others used what was left of the limit: once more, a little later.
-                    Sent::OverLimit if urgency != Urgency::Spare => {}
-                    Sent::OverLimit => return Reply::Refused,
+                    Sent::OverLimit if priority != RequestPriority::Background => {}
+                    Sent::OverLimit => return Reply::Rejected,
                     Sent::Reply(reply) => return reply,
                 }
             }
             if self.clock.now() >= until {
-                return Reply::Refused;
+                return Reply::Rejected;
             }
             tokio::time::sleep(WAIT).await;
         }
@@ -243,26 +246,30 @@
         Sent::Reply(match sent {
             Ok((429, _)) => return Sent::OverLimit,
             Ok((status, body)) => read_reply(request, status, &body),
-            Err(Failure::NotSent) => Reply::Refused,
-            Err(Failure::NoAnswer) => Reply::Unknown,
+            Err(Failure::NotSent) => Reply::Rejected,
+            Err(Failure::NoAnswer) => Reply::Indeterminate,
         })
     }
 
     /// Reads everything below the root; none if the store can't be read now.
-    pub async fn load(&self) -> Option<(Vec<Row>, u64)> {
+    pub async fn load(&self) -> Option<(Vec<KeyValue>, u64)> {
         let (mut all, mut since, mut first) = (Vec::new(), None, None);
         loop {
             let request = Request::List {
-                starts: ROOT.into(),
-                since,
+                prefix: ROOT.into(),
+                start_after: since,
             };
-            let Reply::Rows { rows, more, ledger } = self.ask(request, Urgency::Prompt).await
+            let Reply::Page {
+                entries: rows,
+                more,
+                revision,
+            } = self.ask(request, RequestPriority::Normal).await
             else {
                 return None;
             };
             // Following from the first page's revision repeats changes; they are
             // idempotent. Following from the last page's would lose some.
-            let from = *first.get_or_insert(ledger);
+            let from = *first.get_or_insert(revision);
             since = rows.last().map(|r| r.key.clone());
             all.extend(rows);
             if !more || since.is_none() {
@@ -272,9 +279,9 @@
     }
 
     /// Waits for a moment for changes after a revision.
-    pub async fn follow(&self, since: u64) -> Followed {
-        if !self.admit(Urgency::Vital, 0) {
-            return Followed::Failed;
+    pub async fn follow(&self, since: u64) -> WatchResponse {
+        if !self.admit(RequestPriority::Critical, 0) {
+            return WatchResponse::Failed;
         }
         let path = format!("/follow?starts={ROOT}&since={since}&waitMs={WATCH_MS}");
         match self
@@ -282,13 +289,13 @@
             .send(&HttpRequest::get(path), WATCH_DEADLINE)
             .await
         {
-            Ok((200, body)) => match serde_json::from_slice::<Log>(&body) {
-                Ok(log) => Followed::Changes(log.log, log.ledger),
-                Err(_) => Followed::Failed,
+            Ok((200, body)) => match serde_json::from_slice::<WatchBody>(&body) {
+                Ok(log) => WatchResponse::Events(log.log, log.revision),
+                Err(_) => WatchResponse::Failed,
             },
             // Too far behind: read the keys once more.
-            Ok((410, _)) => Followed::TooOld,
-            _ => Followed::Failed,
+            Ok((410, _)) => WatchResponse::Compacted,
+            _ => WatchResponse::Failed,
         }
     }
 }
@@ -300,23 +307,23 @@
 }
 
 /// What a watch gave.
-pub enum Followed {
+pub enum WatchResponse {
     /// Changes, and the revision that they reach.
-    Changes(Vec<Change>, u64),
+    Events(Vec<WatchEvent>, u64),
     /// Too far behind: all must be read again.
-    TooOld,
+    Compacted,
     /// No answer.
     Failed,
 }
 
 /// The first value that is larger than this, and its size.
-fn oversize(ops: &[Op], most: usize) -> Option<(&str, usize)> {
-    ops.iter().find_map(|op| match op {
-        Op::Set { key, value, .. } => {
+fn oversize(mutations: &[Mutation], most: usize) -> Option<(&str, usize)> {
+    mutations.iter().find_map(|op| match op {
+        Mutation::Set { key, value, .. } => {
             let bytes = serde_json::to_vec(value).map_or(0, |v| v.len());
             (bytes > most).then_some((key.as_str(), bytes))
         }
-        Op::Delete { .. } => None,
+        Mutation::Delete { .. } => None,
     })
 }
 
@@ -324,20 +331,26 @@
 pub(crate) fn http_request(request: &Request) -> HttpRequest {
     match request {
         Request::Get { key } => HttpRequest::get(format!("/keys/{key}")),
-        Request::List { starts, since } => {
+        Request::List {
+            prefix: starts,
+            start_after: since,
+        } => {
             let since = since
                 .as_ref()
                 .map_or(String::new(), |key| format!("&since={key}"));
             HttpRequest::get(format!("/keys?starts={starts}{since}&most=500"))
         }
-        Request::Txn { conds, ops } => HttpRequest::post("/txn".into(), txn_body(conds, ops)),
-        Request::NewLease { life } => {
+        Request::CompareAndSwap {
+            compares,
+            mutations,
+        } => HttpRequest::post("/txn".into(), txn_body(compares, mutations)),
+        Request::GrantLease { ttl: life } => {
             HttpRequest::post("/leases".into(), json!({"lifeMs": life.0 / 1000}))
         }
-        Request::Renew { lease_id } => {
+        Request::RenewLease { lease_id } => {
             HttpRequest::post(format!("/leases/{lease_id}/renew"), json!({}))
         }
-        Request::EndLease { lease_id } => HttpRequest {
+        Request::RevokeLease { lease_id } => HttpRequest {
             method: "DELETE",
             path: format!("/leases/{lease_id}"),
             body: None,
@@ -345,40 +358,50 @@
     }
 }
 
-fn txn_body(conds: &[Cond], ops: &[Op]) -> Value {
-    json!({"if": conds, "then": ops})
+fn txn_body(compares: &[Compare], mutations: &[Mutation]) -> Value {
+    json!({"if": compares, "then": mutations})
 }
 
 fn read_reply(request: &Request, status: u16, body: &[u8]) -> Reply {
     fn parse<'a, T: Deserialize<'a>>(body: &'a [u8], to: impl Fn(T) -> Reply) -> Reply {
-        serde_json::from_slice(body).map_or(Reply::Unknown, to)
+        serde_json::from_slice(body).map_or(Reply::Indeterminate, to)
     }
     match (request, status) {
-        (_, 429 | 503) => Reply::Refused,
-        (Request::Get { .. }, 200) => parse(body, Reply::Found),
-        (Request::Get { .. }, 404) => Reply::Missing,
-        (Request::List { .. }, 200) => parse(body, |r: Rows| Reply::Rows {
-            rows: r.rows,
+        (_, 429 | 503) => Reply::Rejected,
+        (Request::Get { .. }, 200) => parse(body, Reply::Value),
+        (Request::Get { .. }, 404) => Reply::NotFound,
+        (Request::List { .. }, 200) => parse(body, |r: PageBody| Reply::Page {
+            entries: r.rows,
             more: r.more,
-            ledger: r.ledger,
+            revision: r.revision,
         }),
-        (Request::Txn { .. }, 200) => parse(body, |l: Ledger| Reply::Committed(Revision(l.ledger))),
-        (Request::Txn { .. }, 409) => parse(body, |f: Failed| Reply::Conflict(f.failed)),
-        (Request::Txn { .. }, 400) if body.windows(13).any(|w| w == b"no such lease") => {
-            Reply::LeaseGone
+        (Request::CompareAndSwap { .. }, 200) => parse(body, |l: CommittedBody| {
+            Reply::Committed(Revision(l.revision))
+        }),
+        (Request::CompareAndSwap { .. }, 409) => {
+            parse(body, |f: ConflictBody| Reply::Conflict(f.failed))
+        }
+        (Request::CompareAndSwap { .. }, 400)
+            if body.windows(13).any(|w| w == b"no such lease") =>
+        {
+            Reply::LeaseExpired
         }
-        (Request::NewLease { .. }, 200) => parse(body, |l: Leased| Reply::Leased(l.lease_id)),
-        (Request::Renew { .. } | Request::EndLease { .. }, 200..=299) => Reply::Done,
-        (Request::Renew { .. } | Request::EndLease { .. }, 404) => Reply::LeaseGone,
+        (Request::GrantLease { .. }, 200) => {
+            parse(body, |l: LeaseBody| Reply::LeaseGranted(l.lease_id))
+        }
+        (Request::RenewLease { .. } | Request::RevokeLease { .. }, 200..=299) => {
+            Reply::Acknowledged
+        }
+        (Request::RenewLease { .. } | Request::RevokeLease { .. }, 404) => Reply::LeaseExpired,
         (_, 400..=499) => {
             tracing::error!(
                 status,
                 keys = ?keys_of(request),
                 "the state service calls a request malformed"
             );
-            Reply::Refused
+            Reply::Rejected
         }
-        _ => Reply::Unknown,
+        _ => Reply::Indeterminate,
     }
 }
 
@@ -386,14 +409,16 @@
 fn keys_of(request: &Request) -> Vec<&str> {
     match request {
         Request::Get { key } => vec![key],
-        Request::List { starts, .. } => vec![starts],
-        Request::Txn { ops, .. } => ops
+        Request::List { prefix: starts, .. } => vec![starts],
+        Request::CompareAndSwap { mutations, .. } => mutations
             .iter()
             .map(|op| match op {
-                Op::Set { key, .. } | Op::Delete { key } => key.as_str(),
+                Mutation::Set { key, .. } | Mutation::Delete { key } => key.as_str(),
             })
             .collect(),
-        Request::NewLease { .. } | Request::Renew { .. } | Request::EndLease { .. } => Vec::new(),
+        Request::GrantLease { .. } | Request::RenewLease { .. } | Request::RevokeLease { .. } => {
+            Vec::new()
+        }
     }
 }
 
--- a/src/store/client/tests.rs
+++ b/src/store/client/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn renewals_pass_when_the_budget_is_used_up() {
     let now = Micros(0);
-    let mut b = Bucket::new(10.0, now);
+    let mut b = TokenBucket::new(10.0, now);
     let taken = (0..20).filter(|_| b.take(now, 1.0, 0.35)).count();
     assert_eq!(taken, 6);
     assert!(b.take(now, 1.0, -1.0));
@@ -13,7 +13,7 @@
 
 #[test]
 fn what_is_larger_than_the_bucket_passes_as_a_debt() {
-    let mut b = Bucket::new(10.0, Micros(0));
+    let mut b = TokenBucket::new(10.0, Micros(0));
     assert!(b.take(Micros(0), 16.0, 0.1));
     assert!(!b.take(Micros(700_000), 1.0, 0.1), "still in debt");
     assert!(b.take(Micros(800_000), 1.0, 0.1));
@@ -23,8 +23,8 @@
 /// used two fifths of the changes, and the other controllers almost none.
 #[test]
 fn the_rate_of_changes_rises_to_what_others_leave_and_falls_when_refused() {
-    let mut bucket = AdaptiveBucket::new(12.0, 25.0, 25.0, Micros(0));
-    let passed_in_second = |bucket: &mut AdaptiveBucket, second: u64| {
+    let mut bucket = AdaptiveTokenBucket::new(12.0, 25.0, 25.0, Micros(0));
+    let passed_in_second = |bucket: &mut AdaptiveTokenBucket, second: u64| {
         let at = |i: u64| Micros(second * 1_000_000 + i * 10_000);
         (0..100).filter(|i| bucket.take(at(*i), 1.0, 0.0)).count()
     };
@@ -44,9 +44,9 @@
 
 #[test]
 fn only_clear_answers_are_clear() {
-    let txn = Request::Txn {
-        conds: vec![],
-        ops: vec![],
+    let txn = Request::CompareAndSwap {
+        compares: vec![],
+        mutations: vec![],
     };
     assert_eq!(
         read_reply(&txn, 200, br#"{"ledger":432}"#),
@@ -58,49 +58,49 @@
     );
     assert_eq!(
         read_reply(&txn, 400, br#"{"error":"no such lease"}"#),
-        Reply::LeaseGone
+        Reply::LeaseExpired
     );
-    assert_eq!(read_reply(&txn, 503, b""), Reply::Refused);
+    assert_eq!(read_reply(&txn, 503, b""), Reply::Rejected);
     // Half an answer is no answer: the write may have been carried out.
-    assert_eq!(read_reply(&txn, 200, b"{\"led"), Reply::Unknown);
-    assert_eq!(read_reply(&txn, 502, b""), Reply::Unknown);
+    assert_eq!(read_reply(&txn, 200, b"{\"led"), Reply::Indeterminate);
+    assert_eq!(read_reply(&txn, 502, b""), Reply::Indeterminate);
 }
 
 #[test]
 fn the_wire_and_the_records_keep_their_names() {
-    let conds = [super::super::cond("a/b".into(), Revision(412))];
-    let ops = [
-        super::super::set_leased("a/b".into(), &7, LeaseId(9)),
+    let compares = [super::super::compare("a/b".into(), Revision(412))];
+    let mutations = [
+        super::super::put_with_lease("a/b".into(), &7, LeaseId(9)),
         super::super::delete("c/d".into()),
     ];
-    let said = txn_body(&conds, &ops).to_string();
+    let said = txn_body(&compares, &mutations).to_string();
     let page = r#"{"if":[{"k":"a/b","stamp":412}],"then":[{"set":"a/b","tenure":9,"value":7},{"delete":"c/d"}]}"#;
     assert_eq!(said, page);
     let row = r#"{"k":"a/b","value":{},"stamp":412,"tenure":7}"#;
-    let row: Row = serde_json::from_str(row).expect("a row");
+    let row: KeyValue = serde_json::from_str(row).expect("a row");
     assert_eq!(row.revision, Revision(412));
     let log = r#"{"ledger":433,"log":[{"set":"c/9","value":{},"stamp":433},{"delete":"c/d","stamp":432}]}"#;
-    let log: Log = serde_json::from_str(log).expect("a log");
+    let log: WatchBody = serde_json::from_str(log).expect("a log");
     assert_eq!(log.log[1].revision, Revision(432));
-    let leased = Request::NewLease { life: Micros(1) };
+    let leased = Request::GrantLease { ttl: Micros(1) };
     let told = read_reply(&leased, 200, br#"{"tenure":7}"#);
-    assert_eq!(told, Reply::Leased(LeaseId(7)));
+    assert_eq!(told, Reply::LeaseGranted(LeaseId(7)));
 }
 
 #[test]
 fn transactions_keep_their_form() {
-    use super::super::{cond, delete, set, set_leased};
-    let conds = [
-        cond("r/x".into(), Revision(412)),
-        cond("r/y".into(), Revision(0)),
+    use super::super::{compare, delete, put, put_with_lease};
+    let compares = [
+        compare("r/x".into(), Revision(412)),
+        compare("r/y".into(), Revision(0)),
     ];
-    let ops = [
-        set("r/x".into(), &json!({"b": [1.5, null], "a": "t"})),
-        set_leased("r/y".into(), &7, LeaseId(9)),
+    let mutations = [
+        put("r/x".into(), &json!({"b": [1.5, null], "a": "t"})),
+        put_with_lease("r/y".into(), &7, LeaseId(9)),
         delete("r/z".into()),
     ];
     let body = r#"{"if":[{"k":"r/x","stamp":412},{"k":"r/y","stamp":0}],"then":[{"set":"r/x","value":{"a":"t","b":[1.5,null]}},{"set":"r/y","tenure":9,"value":7},{"delete":"r/z"}]}"#;
-    assert_eq!(txn_body(&conds, &ops).to_string(), body);
+    assert_eq!(txn_body(&compares, &mutations).to_string(), body);
     assert_eq!(txn_body(&[], &[]).to_string(), r#"{"if":[],"then":[]}"#);
 }
 
@@ -109,8 +109,8 @@
     let log = r#"{"ledger":433,"new":1,"log":[
         {"set":"r/x","value":{"a":1},"stamp":433,"tenure":9},{"set":"r/y","value":null,"stamp":431},
         {"delete":"r/z","stamp":432}]}"#;
-    let log: Log = serde_json::from_str(log).expect("a log");
-    assert_eq!(log.ledger, 433);
+    let log: WatchBody = serde_json::from_str(log).expect("a log");
+    assert_eq!(log.revision, 433);
     let told: Vec<_> = log
         .log
         .iter()
@@ -134,7 +134,10 @@
         r#"{"ledger":1}"#,
         r#"{"ledger":1,"log":[{"set":"x"}]}"#,
     ] {
-        assert!(serde_json::from_str::<Log>(broken).is_err(), "{broken}");
+        assert!(
+            serde_json::from_str::<WatchBody>(broken).is_err(),
+            "{broken}"
+        );
     }
 }
 
@@ -143,52 +146,65 @@
     let lease_id = LeaseId(7);
     let get = Request::Get { key: "r/x".into() };
     let list = Request::List {
-        starts: "r/".into(),
-        since: None,
+        prefix: "r/".into(),
+        start_after: None,
     };
-    let txn = Request::Txn {
-        conds: vec![],
-        ops: vec![],
+    let txn = Request::CompareAndSwap {
+        compares: vec![],
+        mutations: vec![],
     };
-    let new = Request::NewLease { life: Micros(1) };
-    let (renew, end) = (Request::Renew { lease_id }, Request::EndLease { lease_id });
-    let row = |key: &str, value, revision| Row {
+    let new = Request::GrantLease { ttl: Micros(1) };
+    let (renew, end) = (
+        Request::RenewLease { lease_id },
+        Request::RevokeLease { lease_id },
+    );
+    let row = |key: &str, value, revision| KeyValue {
         key: key.into(),
         value,
         revision: Revision(revision),
     };
     let x = row("r/x", json!({"a": 1}), 412);
-    let page = |rows, more, ledger| Reply::Rows { rows, more, ledger };
+    let page = |rows, more, revision| Reply::Page {
+        entries: rows,
+        more,
+        revision,
+    };
     let rows = r#"{"rows":[{"k":"r/x","value":{"a":1},"stamp":412,"tenure":7},{"k":"r/y","value":null,"stamp":3}],"more":true,"ledger":433}"#;
     let both = vec![x.clone(), row("r/y", Value::Null, 3)];
     let told = |request, status, body: &str| read_reply(request, status, body.as_bytes());
     let found = r#"{"k":"r/x","value":{"a":1},"stamp":412,"new":0}"#;
-    assert_eq!(told(&get, 200, found), Reply::Found(x));
-    assert_eq!(told(&get, 200, r#"{"k":"r/x","value":1}"#), Reply::Unknown);
-    assert_eq!(told(&get, 404, r#"{"error":"none"}"#), Reply::Missing);
+    assert_eq!(told(&get, 200, found), Reply::Value(x));
+    assert_eq!(
+        told(&get, 200, r#"{"k":"r/x","value":1}"#),
+        Reply::Indeterminate
+    );
+    assert_eq!(told(&get, 404, r#"{"error":"none"}"#), Reply::NotFound);
     assert_eq!(told(&list, 200, rows), page(both, true, 433));
     let empty = page(vec![], false, 5);
     assert_eq!(told(&list, 200, r#"{"rows":[],"ledger":5}"#), empty);
-    assert_eq!(told(&list, 200, r#"{"rows":[]}"#), Reply::Unknown);
+    assert_eq!(told(&list, 200, r#"{"rows":[]}"#), Reply::Indeterminate);
     let committed = Reply::Committed(Revision(434));
     assert_eq!(told(&txn, 200, r#"{"ledger":434,"new":0}"#), committed);
     let conflict = Reply::Conflict(vec!["a".into(), "b".into()]);
     assert_eq!(told(&txn, 409, r#"{"failed":["a","b"]}"#), conflict);
-    assert_eq!(told(&txn, 409, r#"{"ledger":4}"#), Reply::Unknown);
+    assert_eq!(told(&txn, 409, r#"{"ledger":4}"#), Reply::Indeterminate);
     let no_lease = r#"{"error":"no such lease"}"#;
-    assert_eq!(told(&txn, 400, no_lease), Reply::LeaseGone);
-    assert_eq!(told(&txn, 400, r#"{"error":"bad"}"#), Reply::Refused);
-    let leased = Reply::Leased(lease_id);
+    assert_eq!(told(&txn, 400, no_lease), Reply::LeaseExpired);
+    assert_eq!(told(&txn, 400, r#"{"error":"bad"}"#), Reply::Rejected);
+    let leased = Reply::LeaseGranted(lease_id);
     assert_eq!(told(&new, 200, r#"{"tenure":7,"lifeMs":1}"#), leased);
     for request in [&renew, &end] {
-        assert_eq!(told(request, 200, "{}"), Reply::Done);
-        assert_eq!(told(request, 204, ""), Reply::Done);
-        assert_eq!(told(request, 404, ""), Reply::LeaseGone);
+        assert_eq!(told(request, 200, "{}"), Reply::Acknowledged);
+        assert_eq!(told(request, 204, ""), Reply::Acknowledged);
+        assert_eq!(told(request, 404, ""), Reply::LeaseExpired);
     }
     for request in [&get, &list, &txn, &new, &renew, &end] {
         let told = |status| read_reply(request, status, b"");
-        assert_eq!((told(429), told(503)), (Reply::Refused, Reply::Refused));
-        assert_eq!((told(413), told(500)), (Reply::Refused, Reply::Unknown));
+        assert_eq!((told(429), told(503)), (Reply::Rejected, Reply::Rejected));
+        assert_eq!(
+            (told(413), told(500)),
+            (Reply::Rejected, Reply::Indeterminate)
+        );
     }
 }
 
@@ -196,7 +212,7 @@
 #[test]
 fn after_a_refusal_the_rate_rises_to_the_coming_limit_only() {
     let rate_after = |most_refused: f64| {
-        let mut bucket = AdaptiveBucket::new(8.0, 25.0, most_refused, Micros(0));
+        let mut bucket = AdaptiveTokenBucket::new(8.0, 25.0, most_refused, Micros(0));
         let minute = Micros::from_secs(60.0);
         assert!(bucket.take(minute, 1.0, 0.0));
         assert_eq!(bucket.bucket.rate, 25.0, "as long as none is refused");
@@ -211,16 +227,16 @@
 
 #[test]
 fn a_value_over_the_limit_is_found_before_it_is_sent() {
-    let set = |n: usize| super::super::set(format!("a/{n}"), &"x".repeat(n));
+    let set = |n: usize| super::super::put(format!("a/{n}"), &"x".repeat(n));
     // The quotes count.
-    let ops = [super::super::delete("a/0".into()), set(1_998), set(1_999)];
-    assert_eq!(oversize(&ops, 2_001), None);
-    assert_eq!(oversize(&ops, 2_000), Some(("a/1999", 2_001)));
-    assert_eq!(oversize(&ops, 1_000), Some(("a/1998", 2_000)));
-    let conds = Vec::new();
-    let request = Request::Txn {
-        conds,
-        ops: ops.to_vec(),
+    let mutations = [super::super::delete("a/0".into()), set(1_998), set(1_999)];
+    assert_eq!(oversize(&mutations, 2_001), None);
+    assert_eq!(oversize(&mutations, 2_000), Some(("a/1999", 2_001)));
+    assert_eq!(oversize(&mutations, 1_000), Some(("a/1998", 2_000)));
+    let compares = Vec::new();
+    let request = Request::CompareAndSwap {
+        compares,
+        mutations: mutations.to_vec(),
     };
     assert_eq!(keys_of(&request), ["a/0", "a/1998", "a/1999"]);
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,7 +1,6 @@
 //! The state service: the only place where anything outlives a process.
 
 pub mod client;
-pub mod mirror;
 
 use crate::clock::Micros;
 use crate::ids::{LeaseId, Revision};
@@ -17,7 +16,7 @@
 
 /// The names of all keys.
 pub mod keys {
-    use crate::ids::{BlockId, JobId, Label};
+    use crate::ids::{JobId, Label, PartitionId};
 
     /// The last term given out.
     pub const TERM: &str = "r/term";
@@ -36,11 +35,11 @@
         format!("r/members/{label}")
     }
     /// Who holds a block.
-    pub fn holder(b: BlockId) -> String {
+    pub fn partition_owner(b: PartitionId) -> String {
         format!("r/blocks/{b}/holder")
     }
     /// A block's machines don't fit one value: they are kept in shards.
-    pub fn machines(b: BlockId, shard: u32) -> String {
+    pub fn shard(b: PartitionId, shard: u32) -> String {
         format!("r/blocks/{b}/machines/{shard}")
     }
     /// A job that is not over.
@@ -48,7 +47,7 @@
         format!("r/jobs/{id}")
     }
     /// A page of a job's progress.
-    pub fn page(id: &JobId, page: u32) -> String {
+    pub fn progress_page(id: &JobId, page: u32) -> String {
         format!("r/done/{id}/{page:04}")
     }
     /// A job that is over.
@@ -56,18 +55,18 @@
         format!("ended/{id}")
     }
     /// The teams' sums of a controller's blocks.
-    pub fn sums(label: &Label) -> String {
+    pub fn team_usage(label: &Label) -> String {
         format!("r/sums/{label}")
     }
     /// A rental.
-    pub fn rental(name: &str) -> String {
+    pub fn scale_out(name: &str) -> String {
         format!("r/hires/{name}")
     }
 }
 
 /// A condition: the key's last change must be this one; revision 0: no such key.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Cond {
+pub struct Compare {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
@@ -77,14 +76,14 @@
 }
 
 /// A condition on one key.
-pub fn cond(key: String, revision: Revision) -> Cond {
-    Cond { key, revision }
+pub fn compare(key: String, revision: Revision) -> Compare {
+    Compare { key, revision }
 }
 
 /// One change of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(untagged)]
-pub enum Op {
+pub enum Mutation {
     /// Sets a key.
     Set {
         /// The key.
@@ -105,8 +104,8 @@
 }
 
 /// Sets a key that is attached to no lease.
-pub fn set(key: String, value: &impl Serialize) -> Op {
-    Op::Set {
+pub fn put(key: String, value: &impl Serialize) -> Mutation {
+    Mutation::Set {
         key,
         value: serde_json::to_value(value).unwrap_or(Value::Null),
         lease_id: None,
@@ -114,8 +113,8 @@
 }
 
 /// Sets a key that is deleted when the lease ends.
-pub fn set_leased(key: String, value: &impl Serialize, lease_id: LeaseId) -> Op {
-    Op::Set {
+pub fn put_with_lease(key: String, value: &impl Serialize, lease_id: LeaseId) -> Mutation {
+    Mutation::Set {
         key,
         value: serde_json::to_value(value).unwrap_or(Value::Null),
         lease_id: Some(lease_id),
@@ -123,8 +122,8 @@
 }
 
 /// Deletes a key.
-pub fn delete(key: String) -> Op {
-    Op::Delete { key }
+pub fn delete(key: String) -> Mutation {
+    Mutation::Delete { key }
 }
 
 /// What the state service is asked.
@@ -138,29 +137,29 @@
     /// A page of the keys that begin alike.
     List {
         /// What they begin with.
-        starts: String,
+        prefix: String,
         /// The last key of the page before.
-        since: Option<String>,
+        start_after: Option<String>,
     },
     /// A transaction.
-    Txn {
+    CompareAndSwap {
         /// What must hold.
-        conds: Vec<Cond>,
+        compares: Vec<Compare>,
         /// What is changed if it does.
-        ops: Vec<Op>,
+        mutations: Vec<Mutation>,
     },
     /// A new lease.
-    NewLease {
+    GrantLease {
         /// How long it lives without a renewal.
-        life: Micros,
+        ttl: Micros,
     },
     /// To renew a lease.
-    Renew {
+    RenewLease {
         /// Which.
         lease_id: LeaseId,
     },
     /// To end a lease.
-    EndLease {
+    RevokeLease {
         /// Which.
         lease_id: LeaseId,
     },
@@ -168,18 +167,18 @@
 
 /// Who goes first when the budget is short.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Urgency {
+pub enum RequestPriority {
     /// Leases and grants: without them nothing else may be done.
-    Vital,
+    Critical,
     /// A user or a machine waits.
-    Prompt,
+    Normal,
     /// What can be done a little later.
-    Spare,
+    Background,
 }
 
 /// A key with its value.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Row {
+pub struct KeyValue {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
@@ -194,37 +193,37 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
     /// The key that was asked for.
-    Found(Row),
+    Value(KeyValue),
     /// There is no such key.
-    Missing,
+    NotFound,
     /// A page of keys.
-    Rows {
+    Page {
         /// The keys of this page.
-        rows: Vec<Row>,
+        entries: Vec<KeyValue>,
         /// Whether there are more.
         more: bool,
         /// The revision that it was read at.
-        ledger: u64,
+        revision: u64,
     },
     /// The transaction was carried out, at this revision.
     Committed(Revision),
     /// It was not: conditions on these keys failed.
     Conflict(Vec<String>),
     /// The new lease.
-    Leased(LeaseId),
+    LeaseGranted(LeaseId),
     /// Done.
-    Done,
+    Acknowledged,
     /// The lease named in a transaction or a renewal has ended.
-    LeaseGone,
+    LeaseExpired,
     /// Surely not carried out (429, 503, no budget, no connection).
-    Refused,
+    Rejected,
     /// No answer: it may have been carried out, or may still be.
-    Unknown,
+    Indeterminate,
 }
 
 /// One change that a watch tells of.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Change {
+pub struct WatchEvent {
     /// The key that was set.
     pub set: Option<String>,
     /// The key that was deleted.
--- a/src/store/mirror.rs
+++ b/src/watch_cache/mod.rs
@@ -3,14 +3,14 @@
 //! It may lag. Nothing is decided by it alone: every write names the revisions
 //! that it relies on, so a view that is out of date makes the write fail.
 
-use super::{Change, Row};
-use crate::blocks::{
-    FormatLevel, FormatRecord, HolderRecord, LeaderRecord, MachineRecord, MachinesRecord,
-    MemberRecord, RentalRecord, TermRecord,
-};
 use crate::fleet::MachineType;
-use crate::ids::{BlockId, JobId, Label, MachineId, Revision};
+use crate::ids::{JobId, Label, MachineId, PartitionId, Revision};
 use crate::jobs::{JobRecord, ProgressRecord};
+use crate::partitions::{
+    FormatLevel, FormatRecord, LeaderRecord, MachineRecord, MachinesRecord, MemberRecord,
+    PartitionOwnerRecord, ScaleOutRecord, TermRecord,
+};
+use crate::store::{KeyValue, WatchEvent};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,7 +20,7 @@
 
 /// The store's records as this controller has read them.
 #[derive(Debug, Default)]
-pub struct Mirror {
+pub struct WatchCache {
     /// Whether a full reading has come.
     pub loaded: bool,
     /// The last term given out.
@@ -36,11 +36,11 @@
     /// The controllers that take part.
     pub members: Table<Label, MemberRecord>,
     /// Who holds each block.
-    pub holders: Table<BlockId, HolderRecord>,
+    pub holders: Table<PartitionId, PartitionOwnerRecord>,
     /// Each block's machines, in shards.
-    pub machines: Table<(BlockId, u32), Rc<MachinesRecord>>,
+    pub machines: Table<(PartitionId, u32), Rc<MachinesRecord>>,
     /// Where each machine is recorded.
-    pub(crate) home: BTreeMap<MachineId, (BlockId, u32)>,
+    pub(crate) home: BTreeMap<MachineId, (PartitionId, u32)>,
     /// Jobs that are not over.
     pub jobs: Table<JobId, Rc<JobRecord>>,
     /// Jobs that are not over and whose record can't be read: nothing of them starts, and
@@ -51,22 +51,22 @@
     /// Their progress, in pages.
     pub pages: Table<(JobId, u32), ProgressRecord>,
     /// Rentals that are not settled.
-    pub rentals: Table<String, RentalRecord>,
+    pub rentals: Table<String, ScaleOutRecord>,
     /// The teams' sums, by who wrote them.
     pub sums: Table<Label, Value>,
 }
 
 /// What a change touched, for those who keep more than the mirror does.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Touched {
+pub enum CacheChange {
     /// Who holds a block.
-    Holder(BlockId),
+    PartitionOwner(PartitionId),
     /// A shard of a block's machines.
-    Machines(BlockId, u32),
+    Shard(PartitionId, u32),
     /// A job.
     Job(JobId),
     /// A page of a job's progress.
-    Page(JobId, u32),
+    ProgressPage(JobId, u32),
     /// Anything else.
     Other,
 }
@@ -91,12 +91,12 @@
     };
 }
 
-impl Mirror {
+impl WatchCache {
     /// Starts over from a full reading.
-    pub fn load(&mut self, rows: Vec<Row>) {
-        *self = Mirror {
+    pub fn load(&mut self, rows: Vec<KeyValue>) {
+        *self = WatchCache {
             loaded: true,
-            ..Mirror::default()
+            ..WatchCache::default()
         };
         for row in rows {
             self.apply(&row.key, Some(row.value), row.revision);
@@ -104,15 +104,15 @@
     }
 
     /// Takes one change in.
-    pub fn change(&mut self, c: Change) -> Touched {
+    pub fn change(&mut self, c: WatchEvent) -> CacheChange {
         match (c.set, c.delete) {
             (Some(key), _) => self.apply(&key, Some(c.value), c.revision),
             (None, Some(key)) => self.apply(&key, None, c.revision),
-            (None, None) => Touched::Other,
+            (None, None) => CacheChange::Other,
         }
     }
 
-    fn apply(&mut self, key: &str, value: Option<Value>, revision: Revision) -> Touched {
+    fn apply(&mut self, key: &str, value: Option<Value>, revision: Revision) -> CacheChange {
         let unreadable = &mut self.unreadable;
         let parts: Vec<&str> = key.split('/').collect();
         match parts.as_slice() {
@@ -140,20 +140,20 @@
                 put(&mut self.rentals, name.to_string(), record, revision);
             }
             ["r", "blocks", b, "holder"] => {
-                let Ok(b) = b.parse().map(BlockId) else {
-                    return Touched::Other;
+                let Ok(b) = b.parse().map(PartitionId) else {
+                    return CacheChange::Other;
                 };
                 let record = read(key, value, unreadable);
                 put(&mut self.holders, b, record, revision);
-                return Touched::Holder(b);
+                return CacheChange::PartitionOwner(b);
             }
             ["r", "blocks", b, "machines", shard] => {
-                let (Ok(b), Ok(shard)) = (b.parse().map(BlockId), shard.parse()) else {
-                    return Touched::Other;
+                let (Ok(b), Ok(shard)) = (b.parse().map(PartitionId), shard.parse()) else {
+                    return CacheChange::Other;
                 };
                 let record = read(key, value, unreadable).map(Rc::new);
                 self.put_shard((b, shard), record, revision);
-                return Touched::Machines(b, shard);
+                return CacheChange::Shard(b, shard);
             }
             ["r", "jobs", id] => {
                 let id = JobId::from(*id);
@@ -165,24 +165,24 @@
                     self.unreadable_jobs.remove(&id);
                 }
                 put(&mut self.jobs, id.clone(), record, revision);
-                return Touched::Job(id);
+                return CacheChange::Job(id);
             }
             ["r", "done", id, page] => {
                 if let Ok(page) = page.parse() {
                     let id = JobId::from(*id);
                     let record = read(key, value, unreadable);
                     put(&mut self.pages, (id.clone(), page), record, revision);
-                    return Touched::Page(id, page);
+                    return CacheChange::ProgressPage(id, page);
                 }
             }
             _ => {}
         }
-        Touched::Other
+        CacheChange::Other
     }
 
     fn put_shard(
         &mut self,
-        at: (BlockId, u32),
+        at: (PartitionId, u32),
         record: Option<Rc<MachinesRecord>>,
         revision: Revision,
     ) {
@@ -201,51 +201,57 @@
     }
 
     /// The revision of a block's holder key, 0 if it has none.
-    pub fn holder_revision(&self, b: BlockId) -> Revision {
+    pub fn holder_revision(&self, b: PartitionId) -> Revision {
         self.holders.get(&b).map_or(Revision(0), |h| h.0)
     }
 
     /// The revision of a shard, 0 if there is none.
-    pub fn shard_revision(&self, at: (BlockId, u32)) -> Revision {
+    pub fn shard_revision(&self, at: (PartitionId, u32)) -> Revision {
         self.machines.get(&at).map_or(Revision(0), |m| m.0)
     }
 
     /// A block's shards, in order.
-    pub fn shards(&self, b: BlockId) -> impl Iterator<Item = (u32, Revision, &Rc<MachinesRecord>)> {
+    pub fn shards(
+        &self,
+        b: PartitionId,
+    ) -> impl Iterator<Item = (u32, Revision, &Rc<MachinesRecord>)> {
         self.machines
             .range((b, 0)..=(b, u32::MAX))
             .map(|((_, n), (revision, rec))| (*n, *revision, rec))
     }
 
     /// The recorded machines of one block.
-    pub fn machines_of(&self, b: BlockId) -> impl Iterator<Item = (&MachineId, &MachineRecord)> {
+    pub fn machines_of(
+        &self,
+        b: PartitionId,
+    ) -> impl Iterator<Item = (&MachineId, &MachineRecord)> {
         self.shards(b).flat_map(|(_, _, rec)| rec.0.iter())
     }
 
     /// Every recorded machine of every block.
-    pub fn all_machines(&self) -> impl Iterator<Item = (BlockId, &MachineId, &MachineRecord)> {
+    pub fn all_machines(&self) -> impl Iterator<Item = (PartitionId, &MachineId, &MachineRecord)> {
         let shards = self.machines.iter();
         shards.flat_map(|((b, _), (_, rec))| rec.0.iter().map(move |(id, m)| (*b, id, m)))
     }
 
     /// Where a machine is recorded, and how.
-    pub fn machine(&self, id: &MachineId) -> Option<((BlockId, u32), &MachineRecord)> {
+    pub fn machine(&self, id: &MachineId) -> Option<((PartitionId, u32), &MachineRecord)> {
         let at = *self.home.get(id)?;
         let (_, rec) = self.machines.get(&at)?;
         Some((at, rec.0.get(id)?))
     }
 
     /// Whether the incarnation that a block names still has its member lease.
-    pub fn holder_alive(&self, rec: &HolderRecord) -> bool {
+    pub fn holder_alive(&self, rec: &PartitionOwnerRecord) -> bool {
         self.members
-            .get(&rec.holder)
+            .get(&rec.owner)
             .is_some_and(|(revision, _)| *revision == rec.incarnation)
     }
 
     /// Who handed a block back that nobody has been granted since.
-    pub fn resigned(&self, b: BlockId) -> Option<&Label> {
+    pub fn resigned(&self, b: PartitionId) -> Option<&Label> {
         let (_, rec) = self.holders.get(&b)?;
-        (rec.incarnation == Revision(0)).then_some(&rec.holder)
+        (rec.incarnation == Revision(0)).then_some(&rec.owner)
     }
 
     /// The format level that every controller understands.
@@ -254,7 +260,7 @@
     }
 
     /// Numbers of a block's shards that are not in use, in order.
-    pub fn free_shards(&self, b: BlockId) -> impl Iterator<Item = u32> {
+    pub fn free_shards(&self, b: PartitionId) -> impl Iterator<Item = u32> {
         (0..u32::MAX).filter(move |n| !self.machines.contains_key(&(b, *n)))
     }
 
--- a/src/store/mirror/tests.rs
+++ b/src/watch_cache/tests.rs
@@ -7,7 +7,7 @@
         let blank = |id: MachineId| (id, MachineRecord::blank(String::new(), "big", "x", false));
         serde_json::to_value(MachinesRecord(all.map(blank).collect())).expect("a record")
     };
-    let mut m = Mirror::default();
+    let mut m = WatchCache::default();
     m.apply(
         "r/blocks/0/machines/0",
         Some(rec(&["m-1", "m-2"])),
@@ -17,9 +17,9 @@
     m.apply("r/blocks/1/machines/3", Some(rec(&["m-1"])), Revision(2));
     m.apply("r/blocks/0/machines/0", Some(rec(&["m-2"])), Revision(2));
     let at = |id: &str| m.machine(&id.into()).map(|(at, _)| at);
-    assert_eq!(at("m-1"), Some((BlockId(1), 3)));
-    assert_eq!(at("m-2"), Some((BlockId(0), 0)));
-    assert_eq!(m.machines_of(BlockId(0)).count(), 1);
+    assert_eq!(at("m-1"), Some((PartitionId(1), 3)));
+    assert_eq!(at("m-2"), Some((PartitionId(0), 0)));
+    assert_eq!(m.machines_of(PartitionId(0)).count(), 1);
 }
 
 #[test]
@@ -40,7 +40,7 @@
         "r/jobs/j-1",
         "r/done/j-1/0000",
     ];
-    let mut m = Mirror::default();
+    let mut m = WatchCache::default();
     for (n, key) in (1..).zip(keys) {
         m.apply(key, Some(broken.clone()), Revision(n));
         assert_eq!(m.unreadable, n, "{key}");
--- a/src/workers/protocol.rs
+++ b/src/workers/protocol.rs
@@ -47,7 +47,7 @@
 
 /// One attempt in a worker's report.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// The task, as `job/index`.
     #[serde(rename = "hand")]
     pub task: String,
@@ -64,14 +64,15 @@
 
 /// A worker's report.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine's name.
     #[serde(rename = "rig")]
     pub machine: MachineId,
     /// Where the worker takes direct commands.
     pub addr: String,
     /// The machine's type.
-    pub build: String,
+    #[serde(rename = "build")]
+    pub machine_type: String,
     /// The machine's zone.
     #[serde(rename = "yard")]
     pub zone: String,
@@ -80,25 +81,25 @@
     pub spot: bool,
     /// Begins anew each time the worker's lease ends.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub agent_epoch: u64,
     /// Rises with each report of a session.
     #[serde(rename = "tally")]
-    pub sequence: u64,
+    pub heartbeat_sequence: u64,
     /// The highest that the worker has seen.
     #[serde(rename = "baton")]
-    pub token: FencingToken,
+    pub fencing_token: FencingToken,
     /// Seconds until the cloud takes the machine.
     #[serde(rename = "warningS", default)]
     pub warning_s: Option<f64>,
     /// All attempts on the machine.
     #[serde(rename = "hands")]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// One thing for a worker to do.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
-pub enum Order {
+pub enum WorkerCommand {
     /// Start an attempt.
     Launch {
         /// The task, as `job/index`.
@@ -109,7 +110,8 @@
         attempt: AttemptId,
     },
     /// Stop an attempt.
-    Halt {
+    #[serde(rename = "halt")]
+    Stop {
         /// The task, as `job/index`.
         #[serde(rename = "hand")]
         task: String,
@@ -118,7 +120,7 @@
         attempt: AttemptId,
         /// How long it may take to save, in seconds.
         #[serde(rename = "leewayS")]
-        leeway_s: f64,
+        grace_period_s: f64,
     },
     /// Forget an attempt that has ended.
     Reap {
@@ -133,26 +135,28 @@
 
 /// The answer to a report that counts.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Orders {
+pub struct HeartbeatResponse {
     /// The token under which it is given.
     #[serde(rename = "baton")]
-    pub token: FencingToken,
+    pub fencing_token: FencingToken,
     /// What to do, in this order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<WorkerCommand>,
     /// Not to be sent from then on: our lease may be over.
     #[serde(skip)]
-    pub until: Micros,
+    pub valid_until: Micros,
 }
 
 /// Commands sent straight to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Direct {
+pub struct DirectCommand {
     /// The token under which it is given.
     #[serde(rename = "baton")]
-    pub token: FencingToken,
+    pub fencing_token: FencingToken,
     /// The session that it is meant for.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub agent_epoch: u64,
     /// What to do, in this order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<WorkerCommand>,
 }
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -7,7 +7,7 @@
     sequence: u64,
     token: FencingToken,
     tasks: &[(&str, u64, &str, &str)],
-) -> Report {
+) -> Heartbeat {
     let tasks: Vec<_> = tasks
         .iter()
         .map(|(task, attempt, standing, cause)| {
@@ -46,9 +46,9 @@
 }
 
 fn launches(m: &mut Machine) -> usize {
-    m.orders(true)
+    m.commands(true)
         .iter()
-        .filter(|o| matches!(o, Order::Launch { .. }))
+        .filter(|o| matches!(o, WorkerCommand::Launch { .. }))
         .count()
 }
 
@@ -58,51 +58,57 @@
     launch(&mut m, "j-1/0", 7);
     assert_eq!(launches(&mut m), 1);
     assert!(
-        m.observe(Micros(1), &report("m", 1, 1, m.token(), &[]))
+        m.reconcile(Micros(1), &report("m", 1, 1, m.fencing_token(), &[]))
             .is_empty()
     );
     assert_eq!(launches(&mut m), 1);
-    assert_eq!(m.count_load().summed.cores, 2.0);
+    assert_eq!(m.compute_load().summed.cores, 2.0);
 }
 
 #[test]
 fn a_lost_direct_command_holds_back_reaping_until_it_is_fenced() {
     let mut m = machine();
     let key = launch(&mut m, "j-1/0", 7);
-    m.direct_out = true;
-    let old = m.token();
-    m.direct_lost();
-    assert!(m.token() > old);
-    m.observe(
+    m.direct_command_in_flight = true;
+    let old = m.fencing_token();
+    m.direct_command_lost();
+    assert!(m.fencing_token() > old);
+    m.reconcile(
         Micros(1),
         &report("m", 1, 1, old, &[("j-1/0", 7, "exited", "done")]),
     );
-    m.attempts.get_mut(&key).expect("kept").reap = true;
+    m.attempts.get_mut(&key).expect("kept").may_be_reaped = true;
     assert_eq!(
-        m.orders(true),
+        m.commands(true),
         vec![],
         "the late launch would run it again after a reap"
     );
-    m.observe(
+    m.reconcile(
         Micros(2),
-        &report("m", 1, 2, m.token(), &[("j-1/0", 7, "exited", "done")]),
+        &report(
+            "m",
+            1,
+            2,
+            m.fencing_token(),
+            &[("j-1/0", 7, "exited", "done")],
+        ),
     );
-    assert!(matches!(m.orders(true)[..], [Order::Reap { .. }]));
+    assert!(matches!(m.commands(true)[..], [WorkerCommand::Reap { .. }]));
 }
 
 #[test]
 fn an_abandoned_launch_is_over_only_behind_its_fence() {
     let mut m = machine();
     let key = launch(&mut m, "j-1/0", 7);
-    let old = m.token();
+    let old = m.fencing_token();
     m.stop(0.0, |_| true);
     assert_eq!(launches(&mut m), 0);
     assert!(
-        m.observe(Micros(1), &report("m", 1, 1, old, &[]))
+        m.reconcile(Micros(1), &report("m", 1, 1, old, &[]))
             .is_empty()
     );
-    let events = m.observe(Micros(2), &report("m", 1, 2, m.token(), &[]));
-    assert_eq!(events, vec![Event::Gone(key)]);
+    let events = m.reconcile(Micros(2), &report("m", 1, 2, m.fencing_token(), &[]));
+    assert_eq!(events, vec![AttemptEvent::Lost(key)]);
 }
 
 #[test]
@@ -110,22 +116,22 @@
     let mut m = machine();
     launch(&mut m, "j-1/0", 7);
     m.stop(0.0, |_| true);
-    m.observe(
+    m.reconcile(
         Micros(1),
         &report("m", 1, 1, FencingToken(0), &[("j-1/0", 7, "running", "")]),
     );
-    assert!(matches!(m.orders(true)[..], [Order::Halt { .. }]));
+    assert!(matches!(m.commands(true)[..], [WorkerCommand::Stop { .. }]));
 }
 
 #[test]
 fn a_new_session_ends_all_of_the_old_one() {
     let mut m = machine();
-    m.observe(Micros(0), &report("m", 1, 1, FencingToken(0), &[]));
+    m.reconcile(Micros(0), &report("m", 1, 1, FencingToken(0), &[]));
     let key = launch(&mut m, "j-1/0", 7);
-    let events = m.observe(Micros(1), &report("m", 2, 9, FencingToken(0), &[]));
-    assert_eq!(events, vec![Event::Gone(key)]);
+    let events = m.reconcile(Micros(1), &report("m", 2, 9, FencingToken(0), &[]));
+    assert_eq!(events, vec![AttemptEvent::Lost(key)]);
     assert!(
-        !m.newer(&report("m", 1, 50, FencingToken(0), &[])),
+        !m.is_newer(&report("m", 1, 50, FencingToken(0), &[])),
         "a late report of the old session"
     );
 }
@@ -136,10 +142,10 @@
     m.unconfirmed = true;
     launch(&mut m, "j-1/0", 7);
     assert!(!m.shows_term(&report("m", 4, 1, FencingToken::of(Term(2), 5), &[])));
-    assert!(m.orders(true).is_empty());
+    assert!(m.commands(true).is_empty());
     let r = report("m", 4, 2, FencingToken::of(Term(3), 0), &[]);
     assert!(m.shows_term(&r));
-    m.observe(Micros(2), &r);
+    m.reconcile(Micros(2), &r);
     assert!(!m.unconfirmed);
 }
 
@@ -148,27 +154,27 @@
     let mut m = machine();
     let mut old = report("m", 1, 1, FencingToken(0), &[]);
     for n in 1..=MOST_UNACKNOWLEDGED {
-        assert!(!m.suspect());
-        old.sequence = u64::from(n);
-        m.answered(Micros(u64::from(n)), &old);
+        assert!(!m.is_unreachable());
+        old.heartbeat_sequence = u64::from(n);
+        m.record_answer(Micros(u64::from(n)), &old);
     }
-    assert!(m.suspect(), "it never showed the token");
-    m.observe(Micros(9), &report("m", 1, 9, m.token(), &[]));
-    assert!(!m.suspect());
+    assert!(m.is_unreachable(), "it never showed the token");
+    m.reconcile(Micros(9), &report("m", 1, 9, m.fencing_token(), &[]));
+    assert!(!m.is_unreachable());
     launch(&mut m, "j-1/0", 7);
     for n in 10..=12 {
-        m.observe(Micros(n), &report("m", 1, n, m.token(), &[]));
-        assert!(!m.suspect());
-        m.orders(true);
+        m.reconcile(Micros(n), &report("m", 1, n, m.fencing_token(), &[]));
+        assert!(!m.is_unreachable());
+        m.commands(true);
     }
-    assert!(m.suspect(), "nor carried out an order");
+    assert!(m.is_unreachable(), "nor carried out an order");
 }
 
 #[test]
 fn odd_reports_are_refused_or_change_nothing() {
-    assert!(serde_json::from_str::<Report>(r#"{"rig":"m"}"#).is_err());
+    assert!(serde_json::from_str::<Heartbeat>(r#"{"rig":"m"}"#).is_err());
     let mut m = machine();
-    let events = m.observe(
+    let events = m.reconcile(
         Micros(1),
         &report(
             "m",
@@ -184,14 +190,14 @@
 #[test]
 fn a_lease_counts_from_the_start_of_its_session_too() {
     let mut m = machine();
-    let first = report("m", 1, 1, m.token(), &[]);
-    m.observe(Micros::from_secs(10.0), &first);
-    m.answered(Micros::from_secs(10.0), &first);
-    assert_eq!(m.lease_from(), Micros::from_secs(10.0));
+    let first = report("m", 1, 1, m.fencing_token(), &[]);
+    m.reconcile(Micros::from_secs(10.0), &first);
+    m.record_answer(Micros::from_secs(10.0), &first);
+    assert_eq!(m.lease_started_at(), Micros::from_secs(10.0));
     // By an answer to a direct command: no answer to a report renewed anything.
-    let next = report("m", 2, 2, m.token(), &[]);
-    m.observe(Micros::from_secs(15.0), &next);
-    assert_eq!(m.lease_from(), Micros::from_secs(15.0));
+    let next = report("m", 2, 2, m.fencing_token(), &[]);
+    m.reconcile(Micros::from_secs(15.0), &next);
+    assert_eq!(m.lease_started_at(), Micros::from_secs(15.0));
 }
 
 #[test]
@@ -200,34 +206,34 @@
         "shift":5,"tally":61,"baton":1048577,"warningS":29.5,"new":"field","hands":[
         {"hand":"j-000412/3","try":2097153,"standing":"running","cause":null,"new":1},
         {"hand":"j-000412/4","try":2097154,"standing":"exited","cause":"done"}]}"#;
-    let task = |task: &str, attempt, phase, cause| TaskReport {
+    let task = |task: &str, attempt, phase, cause| TaskStatus {
         task: task.into(),
         attempt: AttemptId(attempt),
         phase,
         cause,
     };
-    let expected = Report {
+    let expected = Heartbeat {
         machine: "m-000001".into(),
         addr: "10.1.0.7:9000".into(),
-        build: "big".into(),
+        machine_type: "big".into(),
         zone: "x".into(),
         spot: true,
-        session: 5,
-        sequence: 61,
-        token: FencingToken(1_048_577),
+        agent_epoch: 5,
+        heartbeat_sequence: 61,
+        fencing_token: FencingToken(1_048_577),
         warning_s: Some(29.5),
         tasks: vec![
             task("j-000412/3", 2_097_153, Phase::Running, None),
             task("j-000412/4", 2_097_154, Phase::Exited, Some(Cause::Done)),
         ],
     };
-    let read: Report = serde_json::from_str(text).expect("a report");
+    let read: Heartbeat = serde_json::from_str(text).expect("a report");
     assert_eq!(read, expected);
     let whole: serde_json::Value = serde_json::from_str(text).expect("JSON");
     for name in whole.as_object().expect("fields").keys() {
         let mut without = whole.clone();
         without.as_object_mut().expect("fields").remove(name);
-        let read = serde_json::from_value::<Report>(without);
+        let read = serde_json::from_value::<Heartbeat>(without);
         let optional = ["warningS", "new"].contains(&name.as_str());
         assert_eq!(read.is_ok(), optional, "without {name}");
     }
@@ -237,7 +243,7 @@
 fn phases_and_causes_of_a_report_keep_their_names() {
     let task = |phase: &str, cause: &str| {
         let text = format!(r#"{{"hand":"j-1/0","try":7,"standing":"{phase}"{cause}}}"#);
-        serde_json::from_str::<TaskReport>(&text).expect(&text)
+        serde_json::from_str::<TaskStatus>(&text).expect(&text)
     };
     let phases = [
         ("pulling", Phase::Pulling),
@@ -270,16 +276,16 @@
 #[test]
 fn the_answer_to_a_report_and_a_direct_command_keep_their_form() {
     let (task, attempt) = (|| "j-000412/3".to_owned(), AttemptId(2_097_153));
-    let halt = Order::Halt {
+    let halt = WorkerCommand::Stop {
         task: task(),
         attempt,
-        leeway_s: 2.5,
+        grace_period_s: 2.5,
     };
-    let launch = Order::Launch {
+    let launch = WorkerCommand::Launch {
         task: task(),
         attempt,
     };
-    let reap = Order::Reap {
+    let reap = WorkerCommand::Reap {
         task: task(),
         attempt,
     };
@@ -288,17 +294,17 @@
     // As they are sent: through a value, whose fields are sorted.
     let sent = |message: serde_json::Value| message.to_string();
     let token = FencingToken(1_048_577);
-    let answer = Orders {
-        token,
-        orders: orders.clone(),
-        until: Micros(9),
+    let answer = HeartbeatResponse {
+        fencing_token: token,
+        commands: orders.clone(),
+        valid_until: Micros(9),
     };
     let expected = format!(r#"{{"baton":1048577,"orders":{listed}}}"#);
     assert_eq!(sent(serde_json::json!(answer)), expected);
-    let direct = Direct {
-        token,
-        session: 5,
-        orders,
+    let direct = DirectCommand {
+        fencing_token: token,
+        agent_epoch: 5,
+        commands: orders,
     };
     let expected = format!(r#"{{"baton":1048577,"orders":{listed},"shift":5}}"#);
     assert_eq!(sent(serde_json::json!(direct)), expected);
--- a/src/zones/duties.rs
+++ b/src/zones/evacuation.rs
@@ -31,7 +31,7 @@
 
 /// The zones, as the holder of a block deals with them.
 #[derive(Debug)]
-pub struct ZoneDuties {
+pub struct ZoneEvacuation {
     /// The checked settings.
     pub config: Rc<ZoneFailoverConfig>,
     /// How the zones stand.
@@ -48,10 +48,10 @@
     moves: BTreeMap<AttemptKey, Move>,
 }
 
-impl ZoneDuties {
+impl ZoneEvacuation {
     /// With nothing displaced, and every zone healthy until it is told.
     pub fn new(config: Rc<ZoneFailoverConfig>) -> Self {
-        ZoneDuties {
+        ZoneEvacuation {
             waves: Waves::new(config.settings.waves.clone()),
             situation: Rc::new(ZoneSituation::healthy(&config)),
             config,
@@ -101,12 +101,12 @@
     }
 
     /// The place of a job among those that are moved out of lost zones now.
-    fn priority(&self, job: &Job, day: Micros) -> Option<EvacuationPriority> {
+    fn priority(&self, job: &Job, wall_clock: Micros) -> Option<EvacuationPriority> {
         let zone = self.displaced.get(&job.desc.id)?;
         if !self.waves.is_evacuating(zone) {
             return None;
         }
-        let mut priority = self.config.order.priority(job, day);
+        let mut priority = self.config.order.priority(job, wall_clock);
         priority.admitted = self.waves.is_admitted(zone, &job.desc.id);
         Some(priority)
     }
@@ -116,10 +116,10 @@
         &self,
         jobs: Vec<T>,
         job_of: impl Fn(&T) -> &'a Job,
-        day: Micros,
+        wall_clock: Micros,
     ) -> Vec<T> {
         let waiting = |entry: T| {
-            let displaced = self.priority(job_of(&entry), day);
+            let displaced = self.priority(job_of(&entry), wall_clock);
             Waiting {
                 job: entry,
                 displaced,
@@ -135,11 +135,11 @@
     }
 
     /// Whether new work of a job stays out of a zone.
-    pub fn closed_to(&self, job: &Job, zone: &str, day: Micros) -> bool {
+    pub fn closed_to(&self, job: &Job, zone: &str, wall_clock: Micros) -> bool {
         !self.situation.troubled.is_empty()
             && self
                 .situation
-                .closed_to(&job.desc, day.since(job.since), zone)
+                .closed_to(&job.desc, wall_clock.since(job.eligible_since), zone)
     }
 
     /// Whether a silent machine of a zone is kept for now.
@@ -171,7 +171,7 @@
     /// machines rented for them. `silent` and the waiting tasks are by lost zone.
     pub fn advance(
         &mut self,
-        day: Micros,
+        wall_clock: Micros,
         mut silent: BTreeMap<ZoneId, Vec<SilentMachine>>,
         jobs: &BTreeMap<JobId, Job>,
     ) {
@@ -180,7 +180,7 @@
             let machines = silent.remove(&zone).unwrap_or_default();
             let allowed = self.waves.give_up(&zone, machines);
             self.may_give_up.extend(allowed);
-            let waiting = self.waiting_from(&zone, jobs, day);
+            let waiting = self.waiting_from(&zone, jobs, wall_clock);
             self.waves.admit(&zone, waiting);
         }
     }
@@ -189,7 +189,7 @@
         &self,
         zone: &ZoneId,
         jobs: &BTreeMap<JobId, Job>,
-        day: Micros,
+        wall_clock: Micros,
     ) -> Vec<DisplacedJob> {
         let of_zone = self.displaced.iter().filter(|(_, from)| *from == zone);
         let mut waiting: Vec<&Job> = of_zone
@@ -197,13 +197,13 @@
             .collect();
         // As placement orders them where their priorities are alike. Guards against room that
         // is rented for one and taken by another, again and again.
-        waiting.sort_by_cached_key(|job| job.turn(day));
+        waiting.sort_by_cached_key(|job| job.turn(wall_clock));
         waiting.reverse();
         waiting
             .into_iter()
             .map(|job| DisplacedJob {
                 id: job.desc.id.clone(),
-                priority: self.config.order.priority(job, day),
+                priority: self.config.order.priority(job, wall_clock),
                 tasks: job.waiting.len(),
             })
             .collect()
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -4,23 +4,23 @@
 //! The decisions are in the package `zone-failover`; this slice feeds it and carries out
 //! what it says.
 
-mod duties;
+mod evacuation;
 mod order;
 
-pub use duties::ZoneDuties;
+pub use evacuation::ZoneEvacuation;
 pub use order::EvacuationOrder;
 
 use crate::clock::Micros;
 use crate::ids::{Label, Revision, ZoneId};
 use crate::jobs::JobDesc;
 use crate::settings::Settings;
-use crate::store::mirror::Mirror;
-use crate::store::{self, Cond, Op, Reply, cond, keys};
+use crate::store::{self, Compare, Mutation, Reply, compare, keys};
+use crate::watch_cache::WatchCache;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use zone_failover::evidence::{ZoneCounts, ZoneEvidence};
 use zone_failover::health::ZoneState;
-use zone_failover::leader::{Effect, Message, RentalAccess, ZoneLeader};
+use zone_failover::leader::{Effect, Message, ScaleOutAccess, ZoneLeader};
 use zone_failover::record::{RecordError, ZoneRecord, ZonesRecord};
 use zone_failover::view::ZoneView;
 
@@ -129,8 +129,8 @@
     }
 
     /// Takes in what was read of the store.
-    pub fn sync(&mut self, now: Micros, mirror: &Mirror) {
-        let (revision, value) = match &mirror.zones {
+    pub fn sync(&mut self, now: Micros, cache: &WatchCache) {
+        let (revision, value) = match &cache.zones {
             Some((revision, value)) => (*revision, Some(value)),
             None => (Revision(0), None),
         };
@@ -147,15 +147,15 @@
                 }
             });
         }
-        let leader = mirror.leader.as_ref().map(|(revision, _)| *revision);
+        let leader = cache.leader.as_ref().map(|(revision, _)| *revision);
         self.view.sync(now, self.record.as_ref(), leader);
         self.refresh(now);
     }
 
     /// Looks at the view again, since time alone changes it, too.
-    pub fn tick(&mut self, now: Micros, mirror: &Mirror) {
+    pub fn tick(&mut self, now: Micros, cache: &WatchCache) {
         if now.since(self.last_refresh) >= REFRESH_EVERY {
-            self.sync(now, mirror);
+            self.sync(now, cache);
         }
     }
 
@@ -204,29 +204,29 @@
     pub fn lead(
         &mut self,
         now: Micros,
-        day: Micros,
-        leader: &Cond,
-    ) -> Option<(Vec<Cond>, Vec<Op>)> {
+        wall_clock: Micros,
+        leader: &Compare,
+    ) -> Option<(Vec<Compare>, Vec<Mutation>)> {
         if !self.leader.leads(leader.revision) {
             let record = self.record.clone();
             let leader = leader.revision;
             self.leader
-                .handle(now, day, Message::Leading { leader, record });
+                .handle(now, wall_clock, Message::Leading { leader, record });
         }
-        let effects = self.leader.handle(now, day, Message::Tick);
+        let effects = self.leader.handle(now, wall_clock, Message::Tick);
         let Effect::Commit(record) = effects.into_iter().next()?;
         if self.is_newer {
             // Guards against an older version that takes back what a newer one committed.
             self.leader
-                .handle(now, day, Message::Committed { done: false });
+                .handle(now, wall_clock, Message::Committed { done: false });
             return None;
         }
         // Conditional on the leader's key, so a leader that has been replaced is refused.
-        let conds = vec![
+        let compares = vec![
             leader.clone(),
-            cond(keys::ZONES.into(), self.record_revision),
+            compare(keys::ZONES.into(), self.record_revision),
         ];
-        Some((conds, vec![store::set(keys::ZONES.into(), &record)]))
+        Some((compares, vec![store::put(keys::ZONES.into(), &record)]))
     }
 
     /// The store has answered a commit.
@@ -238,7 +238,7 @@
     }
 
     /// Whether machines may be rented in a zone.
-    pub fn rental_access(&self, now: Micros, zone: &str) -> RentalAccess {
+    pub fn rental_access(&self, now: Micros, zone: &str) -> ScaleOutAccess {
         self.leader.rental_access(now, &zone.into())
     }
 
--- a/src/zones/order.rs
+++ b/src/zones/order.rs
@@ -1,7 +1,7 @@
 //! The operators' expression for the order in which displaced jobs are moved.
 
 use crate::clock::Micros;
-use crate::jobs::{Job, Rank};
+use crate::jobs::{Job, Priority};
 use crate::policy::lang::{self, Expr, Kind, PolicyError, SourcePosition, Value, fail};
 use crate::policy::{JOB, Known, job_value, platform, value_of};
 use crate::settings::Settings;
@@ -73,12 +73,14 @@
     }
 
     /// The place of a job among those that are displaced.
-    pub fn priority(&self, job: &Job, day: Micros) -> EvacuationPriority {
+    pub fn priority(&self, job: &Job, wall_clock: Micros) -> EvacuationPriority {
         let service = self.services.contains(&job.desc.class);
-        let waited = day.since(job.since).as_secs();
+        let waited = wall_clock.since(job.eligible_since).as_secs();
         let value = |name: &str| match name {
             "rank_level" => Some(Value::Number(level(job.rank()))),
-            "keeps_deadline" => Some(Value::Truth(job.due().is_some() && job.slack(day) >= 0)),
+            "keeps_deadline" => Some(Value::Truth(
+                job.due().is_some() && job.slack(wall_clock) >= 0,
+            )),
             "waited_s" => Some(Value::Number(waited)),
             "service" => Some(Value::Truth(service)),
             _ => job_value(&job.desc, name).or_else(|| value_of(&self.known, name)),
@@ -92,17 +94,17 @@
             value: given,
             service,
             array: job.desc.tasks > 1,
-            accepted: job.at,
+            accepted: job.accepted_at,
         }
     }
 }
 
-fn level(rank: Rank) -> f64 {
+fn level(rank: Priority) -> f64 {
     match rank {
-        Rank::Idle => 0.0,
-        Rank::Standard => 1.0,
-        Rank::High => 2.0,
-        Rank::Production => 3.0,
+        Priority::Idle => 0.0,
+        Priority::Standard => 1.0,
+        Priority::High => 2.0,
+        Priority::Production => 3.0,
     }
 }
 
