--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,12 +1,11 @@
 //! HTTP for users, workers and health checks.
 
 mod connection_limiter;
+pub mod ports;
 pub mod read_index;
 mod submissions;
 
 use crate::clock::{MonotonicClock, time_of_day};
-use crate::controller::messages::{Answer, ApiView};
-use crate::controller::{Cancelled, HeartbeatRequest, Question, StatusQuery};
 use crate::ids::{JobId, Revision};
 use crate::jobs::{EndedRecord, JobDesc, JobRecord, JobState, Refusal};
 use crate::partitions::FormatLevel;
@@ -15,6 +14,9 @@
 use crate::store::{self, Reply, Request as Ask, compare, keys};
 use crate::workers::Heartbeat;
 use connection_limiter::ConnectionLimiter;
+use ports::{
+    ApiChannels, CancelledJob, HeartbeatAnswer, HeartbeatRequest, StatusQuery, StoreQuery,
+};
 use read_index::JobLookup;
 use salvo::conn::{Listener, TcpListener};
 use salvo::http::StatusCode;
@@ -23,7 +25,7 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::sync::{mpsc, oneshot, watch};
+use tokio::sync::oneshot;
 
 /// A request body may be at most this long.
 const MOST_BODY: usize = 64 * 1024;
@@ -35,26 +37,11 @@
 /// Times that a write is tried again after someone else's change.
 const TRIES: usize = 4;
 
-/// Where the users' and workers' side learns from and speaks to.
-#[derive(Clone)]
-pub struct Ports {
-    /// What the core has published.
-    pub view: watch::Receiver<Arc<ApiView>>,
-    /// Requests to the state service.
-    pub questions: mpsc::Sender<Question>,
-    /// Workers' reports.
-    pub reports: mpsc::Sender<HeartbeatRequest>,
-    /// Questions how a job stands.
-    pub asks: mpsc::Sender<StatusQuery>,
-    /// Cancellations that the store has confirmed.
-    pub cancels: mpsc::Sender<Cancelled>,
-}
-
 #[derive(Clone)]
 struct Api {
     settings: Arc<Settings>,
     clock: MonotonicClock,
-    ports: Ports,
+    ports: ApiChannels,
 }
 
 /// Why a user's request is refused for good.
@@ -139,7 +126,7 @@
         if self
             .ports
             .questions
-            .try_send(Question { request, answer })
+            .try_send(StoreQuery { request, answer })
             .is_err()
         {
             return Reply::Rejected;
@@ -221,8 +208,8 @@
             {
                 Reply::Committed(revision) => {
                     let job = id.clone();
-                    // Full: whoever holds its block reads it from the store.
-                    let _ = self.ports.cancels.try_send(Cancelled { job, revision });
+                    // Full: whoever holds its partition reads it from the store.
+                    let _ = self.ports.cancels.try_send(CancelledJob { job, revision });
                     return UserAnswer::Job {
                         status: 200,
                         id,
@@ -254,10 +241,10 @@
         match tokio::time::timeout(Duration::from_millis(3_000), got).await {
             // The last moment at which we can tell: an answer that stood still on its
             // way must not leave after the lease under which it was decided.
-            Ok(Ok(Answer::Accepted(orders))) if self.clock.now() < orders.valid_until => {
+            Ok(Ok(HeartbeatAnswer::Accepted(orders))) if self.clock.now() < orders.valid_until => {
                 (200, json!(orders))
             }
-            Ok(Ok(Answer::Redirect(label))) => (421, json!({"answerTo": label})),
+            Ok(Ok(HeartbeatAnswer::Redirect(label))) => (421, json!({"answerTo": label})),
             _ => (503, json!({"error": "not entitled to answer"})),
         }
     }
@@ -383,7 +370,7 @@
     settings: Arc<Settings>,
     sockets: &Sockets,
     clock: MonotonicClock,
-    ports: Ports,
+    ports: ApiChannels,
 ) -> Result<(), String> {
     let bind = settings.bind;
     let connection_limiter = ConnectionLimiter::new(&settings, sockets);
--- a/src/api/read_index.rs
+++ b/src/api/read_index.rs
@@ -2,7 +2,7 @@
 //!
 //! A question waits for the next reading of the store's changes that was begun
 //! after it came: one reading serves all questions waiting. A live job is then
-//! answered from the mirror, which is as new as that reading. For any other the
+//! answered from the cache, which is as new as that reading. For any other the
 //! record of ended jobs is read, in this order, since jobs only ever move from
 //! live to ended, in one transaction: none is missed. How a job ended never
 //! changes, so it is remembered.
@@ -106,7 +106,7 @@
         None
     }
 
-    /// The mirror has reached what a reading asked for at `sent` gave.
+    /// The cache has reached what a reading asked for at `sent` gave.
     pub fn reading(
         &mut self,
         sent: Micros,
--- a/src/api/read_index/tests.rs
+++ b/src/api/read_index/tests.rs
@@ -83,9 +83,9 @@
         revision: Revision(revision),
     };
     let value = serde_json::to_value(&rec).expect("a record");
-    cache.change(change("r/jobs/j-1", value, 3));
+    cache.apply_event(change("r/jobs/j-1", value, 3));
     let page = serde_json::json!({"owner": "c0", "done": [[0, 2]], "running": 1});
-    cache.change(change("r/done/j-1/0000", page, 4));
+    cache.apply_event(change("r/done/j-1/0000", page, 4));
     for t in 0..100 {
         assert_eq!(d.ask(secs(2.0), "j-1".into(), t, true), None);
         assert_eq!(d.ask(secs(2.0), "j-2".into(), 100 + t, true), None);
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -21,7 +21,8 @@
                 return self.unless_known(&job.id, refused(refusal)).await;
             }
             let team = self.settings.team(&job.team);
-            let Some((block, grant, born)) = team.and_then(|t| view.teams.get(t)).copied() else {
+            let Some((partition, grant, born)) = team.and_then(|t| view.teams.get(t)).copied()
+            else {
                 return self.unless_known(&job.id, NO_STORE).await;
             };
             let rec = JobRecord {
@@ -32,9 +33,9 @@
             let compares = vec![
                 compare(keys::job(&job.id), Revision(0)),
                 compare(keys::ended(&job.id), Revision(0)),
-                // Under this grant: a later holder knows whether an earlier one can
+                // Under this grant: a later owner knows whether an earlier one can
                 // have started it.
-                compare(keys::partition_owner(block), grant),
+                compare(keys::partition_owner(partition), grant),
             ];
             let mutations = vec![store::put(keys::job(&job.id), &rec)];
             match self
@@ -61,7 +62,9 @@
                     };
                 }
                 Reply::Conflict(failed)
-                    if failed.iter().any(|k| *k != keys::partition_owner(block)) =>
+                    if failed
+                        .iter()
+                        .any(|k| *k != keys::partition_owner(partition)) =>
                 {
                     match self.find(&job.id).await {
                         // It ended and was read in between; look once more.
@@ -69,7 +72,7 @@
                         found => return known(found, &job.id),
                     }
                 }
-                // The block changed hands; the news of it is on its way here.
+                // The partition changed hands; the news of it is on its way here.
                 Reply::Conflict(_) => tokio::time::sleep(Duration::from_millis(150)).await,
                 _ => return self.unless_known(&job.id, NO_STORE).await,
             }
@@ -104,7 +107,7 @@
     }
 
     /// Whether a job was accepted; none: it can't be told now. Two reads of its own, since
-    /// the mirror may lag behind what another node accepted a moment ago, and in this
+    /// the cache may lag behind what another node accepted a moment ago, and in this
     /// order, since jobs only ever move from live to ended.
     pub(super) async fn accepted(&self, id: &JobId) -> Option<bool> {
         for key in [keys::job(id), keys::ended(id)] {
@@ -118,7 +121,7 @@
     }
 
     /// The answer to a submission that can't be taken. Guards against a refusal of what
-    /// was accepted before, by whichever node and however the types, the team's block or
+    /// was accepted before, by whichever node and however the types, the team's partition or
     /// the store are now: a repeat is told how the job stands.
     pub(super) async fn unless_known(&self, id: &JobId, told: UserAnswer) -> UserAnswer {
         // A refusal for now goes out soon, whatever the lookup does: its user asks again.
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -1,4 +1,7 @@
+use super::ports::ApiView;
 use super::*;
+use tokio::sync::{mpsc, watch};
+
 use crate::clock::Micros;
 use crate::ids::{PartitionId, Term};
 use crate::jobs::tests::{body as job, types};
@@ -11,10 +14,10 @@
 /// The users' side before a scripted store and core: what a transaction is answered,
 /// how jobs are found, and what a report is answered.
 fn api(view: ApiView, store: Answers, find: Find, orders: HeartbeatResponse) -> Api {
-    let (questions, mut asked) = mpsc::channel::<Question>(16);
+    let (questions, mut asked) = mpsc::channel::<StoreQuery>(16);
     let (reports, mut arrivals) = mpsc::channel::<HeartbeatRequest>(16);
     let (asks, mut asking) = mpsc::channel::<StatusQuery>(16);
-    let (cancels, mut cancelled) = mpsc::channel::<Cancelled>(16);
+    let (cancels, mut cancelled) = mpsc::channel::<CancelledJob>(16);
     tokio::spawn(async move {
         while let Some(q) = asked.recv().await {
             let _ = q.answer.send(store(&q.request));
@@ -27,7 +30,7 @@
     });
     tokio::spawn(async move {
         while let Some(a) = arrivals.recv().await {
-            let _ = a.answer.send(Answer::Accepted(orders.clone()));
+            let _ = a.answer.send(HeartbeatAnswer::Accepted(orders.clone()));
         }
     });
     tokio::spawn(async move { while cancelled.recv().await.is_some() {} });
@@ -35,7 +38,7 @@
     Api {
         settings: Arc::new(settings()),
         clock: MonotonicClock::start(),
-        ports: Ports {
+        ports: ApiChannels {
             view,
             questions,
             reports,
@@ -100,7 +103,7 @@
     api.submit(job().to_string().as_bytes()).await
 }
 
-/// Whatever the types, the team's block and the store are just now: a node that says
+/// Whatever the types, the team's partition and the store are just now: a node that says
 /// no to a job that is known makes it forgotten.
 #[tokio::test]
 async fn a_repeat_of_a_known_job_is_told_how_it_stands_whatever_else_is_wrong() {
@@ -119,7 +122,7 @@
     let stores: [Answers; 4] = [
         |_| Reply::Rejected,
         |_| Reply::Indeterminate,
-        // Its block changes hands all the time.
+        // Its partition changes hands all the time.
         |_| Reply::Conflict(vec!["r/blocks/0/holder".into()]),
         |_| Reply::Conflict(vec!["r/jobs/j-000412".into()]),
     ];
@@ -478,7 +481,7 @@
     api.ports.reports = reports;
     tokio::spawn(async move {
         let first = arrivals.recv().await.expect("a report");
-        let _ = first.answer.send(Answer::Redirect("c1".into()));
+        let _ = first.answer.send(HeartbeatAnswer::Redirect("c1".into()));
         drop(arrivals.recv().await);
     });
     let told = api.report(report.as_bytes()).await;
--- a/src/fleet/autoscaler.rs
+++ b/src/autoscaler/mod.rs
@@ -1,16 +1,19 @@
 //! The leader's dealings with the cloud: what to rent, what to return, and
-//! which block each machine goes to.
+//! which partition each machine goes to.
 
 mod recording;
 mod release;
 mod scale_out;
+mod shards;
 
-use super::{CloudMachine, CloudReply, CloudRequest, InstanceState, MachineType};
 use crate::clock::Micros;
+use crate::cloud::{
+    CloudMachine, CloudReply, CloudRequest, InstanceState, MachineType, ScaleOutRecord,
+};
 use crate::fairness::Resources;
 use crate::ids::{MachineId, PartitionId, Revision};
 use crate::mesh::PartitionState;
-use crate::partitions::{ReleaseReason, ScaleOutRecord};
+use crate::partitions::ReleaseReason;
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::store::{Compare, Mutation, Reply};
@@ -81,7 +84,7 @@
 
 #[derive(Debug)]
 struct PendingCapacity {
-    block: PartitionId,
+    partition: PartitionId,
     until: Micros,
     capacity: Resources,
     count: u32,
@@ -94,11 +97,11 @@
     pub cache: &'a WatchCache,
     /// That this controller still leads.
     pub leader: &'a Compare,
-    /// The store's revision that the mirror has reached.
+    /// The store's revision that the cache has reached.
     pub seen: Revision,
     /// The machine types.
     pub types: &'a [MachineType],
-    /// What the blocks' holders tell.
+    /// What the partitions' owners tell.
     pub news: &'a BTreeMap<PartitionId, PartitionState>,
     /// Whether machines may be rented in a zone.
     pub access: &'a dyn Fn(&str) -> ScaleOutAccess,
@@ -122,7 +125,7 @@
     backoff: BTreeMap<InstanceOffer, Backoff>,
     /// Being returned: when to ask (again), or that the cloud has confirmed it.
     returning: BTreeMap<MachineId, Option<Micros>>,
-    /// Of them, those that are silent, as their holder says.
+    /// Of them, those that are silent, as their owner says.
     silent: BTreeSet<MachineId>,
     return_out: Vec<MachineId>,
     returned: BTreeSet<MachineId>,
@@ -130,12 +133,12 @@
     missing: BTreeMap<MachineId, u32>,
     /// Listed, but recorded nowhere.
     strange: BTreeSet<MachineId>,
-    /// Given up by a holder, for another block.
+    /// Given up by an owner, for another partition.
     moves: BTreeSet<MachineId>,
     writing: bool,
     /// A write of machines had no answer: it may still be carried out.
     unfenced: bool,
-    /// The mirror must have caught up with this before the next write.
+    /// The cache must have caught up with this before the next write.
     wait_for: Revision,
     last_split: Micros,
     /// Requests that lacked room lately.
@@ -188,7 +191,7 @@
         }
         self.stepped = now;
         if seen >= self.wait_for {
-            // Before that the mirror may show rentals that are settled.
+            // Before that the cache may show rentals that are settled.
             self.adopt_rentals(now, cache);
         }
         if !self.listing && now.since(self.listed_at) >= LIST_EVERY {
@@ -218,7 +221,7 @@
 
     /// Hires that an earlier leader recorded are repeated under their names.
     fn adopt_rentals(&mut self, now: Micros, cache: &WatchCache) {
-        for (name, (_, rec)) in &cache.rentals {
+        for (name, (_, rec)) in &cache.scale_outs {
             self.rentals
                 .entry(name.clone())
                 .or_insert_with(|| (rec.clone(), ScaleOutState::Ask(now)));
@@ -226,7 +229,7 @@
     }
 
     /// Takes in the cloud's answer.
-    pub fn cloud(&mut self, now: Micros, request: CloudRequest, reply: CloudReply) {
+    pub fn handle_cloud_reply(&mut self, now: Micros, request: CloudRequest, reply: CloudReply) {
         match (request, reply) {
             (CloudRequest::Machines, reply) => {
                 self.listing = false;
@@ -305,7 +308,7 @@
     }
 
     /// Takes in the store's answer to a write.
-    pub fn stored(&mut self, now: Micros, write: Write, reply: &Reply) {
+    pub fn handle_store_reply(&mut self, now: Micros, write: Write, reply: &Reply) {
         match write {
             Write::Machines { settled } => {
                 self.writing = false;
--- a/src/fleet/autoscaler/recording.rs
+++ b/src/autoscaler/recording.rs
@@ -1,9 +1,9 @@
-//! Recording machines in the blocks' shards: what was rented goes in, what is gone goes out,
+//! Recording machines in the partitions' shards: what was rented goes in, what is gone goes out,
 //! what was given up moves on, and what has grown too large is split.
 
 use super::*;
-use crate::fleet::shards::{PartitionBalancer, ShardTransaction};
-use crate::partitions::leader::take_terms;
+use crate::autoscaler::shards::{PartitionBalancer, ShardTransaction};
+use crate::leader::take_terms;
 use crate::partitions::{MachineRecord, MachinesRecord, write_parts};
 use crate::store::{self, compare, keys};
 
@@ -11,7 +11,7 @@
 const SPLIT_EVERY: Micros = Micros::from_millis(1_200);
 
 impl Autoscaler {
-    /// What holders gave up for others, and what is listed but recorded nowhere.
+    /// What owners gave up for others, and what is listed but recorded nowhere.
     pub(super) fn find_moves(&mut self, cache: &WatchCache) {
         let freed = cache
             .all_machines()
@@ -34,7 +34,7 @@
         self.strange = strange.map(|m| m.id.clone()).collect();
     }
 
-    /// Takes a term that nobody gets. Guards against a machine in two blocks: a write
+    /// Takes a term that nobody gets. Guards against a machine in two partitions: a write
     /// without an answer that puts it into one could be carried out after the next one
     /// has put it into another, since each names only the shards that it changes. All
     /// of them name the term's key, so none is carried out after this.
@@ -58,17 +58,17 @@
         }
         let oversize = |rec: &MachinesRecord| rec.is_oversize(self.value_bytes);
         let split = cache
-            .machines
+            .machine_shards
             .iter()
             .filter(|(_, (_, rec))| oversize(rec))
             .map(|(at, (revision, rec))| (*at, *revision, (**rec).clone().split(self.value_bytes)))
             .find(|(.., parts)| parts.len() <= self.txn_ops);
-        let ((block, shard), revision, parts) = split?;
+        let ((partition, shard), revision, parts) = split?;
         self.last_split = now;
         self.writing = true;
-        tracing::info!(%block, shard, parts = parts.len(), "a shard is recorded in parts");
-        let free = cache.free_shards(block);
-        let (of_parts, mutations) = write_parts(block, (shard, revision), parts, free);
+        tracing::info!(%partition, shard, parts = parts.len(), "a shard is recorded in parts");
+        let free = cache.free_shards(partition);
+        let (of_parts, mutations) = write_parts(partition, (shard, revision), parts, free);
         let compares = std::iter::once(leader.clone()).chain(of_parts).collect();
         Some(Effect::CompareAndSwap(Write::Split, compares, mutations))
     }
@@ -84,10 +84,10 @@
         types: &[MachineType],
         news: &BTreeMap<PartitionId, PartitionState>,
     ) -> Option<Effect> {
-        let blocks: Vec<PartitionId> = cache.holders.keys().copied().collect();
-        let first = *blocks.first()?;
+        let partitions: Vec<PartitionId> = cache.partition_owners.keys().copied().collect();
+        let first = *partitions.first()?;
         let mut draft = ShardTransaction::new(cache, self.value_bytes, self.txn_ops);
-        let mut spread = PartitionBalancer::new(cache, news, types, &blocks);
+        let mut spread = PartitionBalancer::new(cache, news, types, &partitions);
         let (mut settled, mut mutations) = (Vec::new(), Vec::new());
         for (name, (rental, state)) in &self.rentals {
             let ScaleOutState::Rented(ids) = state else {
@@ -96,7 +96,7 @@
             if draft.full(mutations.len() + 1) {
                 break;
             }
-            let block = if cache.holders.contains_key(&rental.partition) {
+            let partition = if cache.partition_owners.contains_key(&rental.partition) {
                 rental.partition
             } else {
                 first
@@ -110,7 +110,7 @@
             let all = ids
                 .iter()
                 .filter(|id| cache.machine(id).is_none())
-                .all(|id| draft.insert(block, id, blank.clone(), mutations.len() + 1));
+                .all(|id| draft.insert(partition, id, blank.clone(), mutations.len() + 1));
             if all {
                 settled.push(name.clone());
                 mutations.push(store::delete(keys::scale_out(name)));
@@ -138,7 +138,7 @@
             if !draft.insert(to, id, rec, mutations.len()) {
                 break;
             }
-            tracing::debug!(machine = %id, block = %to, "adopted");
+            tracing::debug!(machine = %id, partition = %to, "adopted");
         }
         // Machines given up for others: to where they are lacking, or back.
         let (term, term_cond, term_op) = take_terms(cache, 1);
@@ -155,7 +155,7 @@
                 .unwrap_or(at.0);
             let mut rec = rec.clone();
             rec.release_reason = None;
-            // A term above all that any holder of it has used.
+            // A term above all that any owner of it has used.
             rec.term = term;
             if draft.full(mutations.len() + 3) || !draft.remove(at, id, mutations.len() + 2) {
                 break;
--- a/src/fleet/autoscaler/release.rs
+++ b/src/autoscaler/release.rs
@@ -18,7 +18,10 @@
             .iter()
             .filter(|(b, n)| {
                 now.since(n.received_at) < Micros::from_millis(4_000)
-                    && cache.holders.get(b).is_some_and(|(_, h)| h.term == n.term)
+                    && cache
+                        .partition_owners
+                        .get(b)
+                        .is_some_and(|(_, h)| h.term == n.term)
             })
             .map(|(b, n)| (*b, n.releasable_machines.iter().collect()))
             .collect();
--- a/src/fleet/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -4,10 +4,10 @@
     Autoscaler, Effect, FleetSnapshot, InstanceOffer, PendingCapacity, ScaleOutState, Write,
 };
 use crate::clock::Micros;
+use crate::cloud::ScaleOutRecord;
+use crate::cloud::{CloudRequest, MachineType};
 use crate::fairness::Resources;
-use crate::fleet::{CloudRequest, MachineType};
 use crate::ids::Revision;
-use crate::partitions::ScaleOutRecord;
 use crate::placement::CapacityRequest;
 use crate::store::{self, Compare, compare, keys};
 use crate::watch_cache::WatchCache;
@@ -52,7 +52,7 @@
                 ScaleOutState::Refused => {
                     *state = ScaleOutState::Recording;
                     // Only if it is recorded; else there is nothing to drop.
-                    if let Some((revision, _)) = cache.rentals.get(name) {
+                    if let Some((revision, _)) = cache.scale_outs.get(name) {
                         let key = keys::scale_out(name);
                         let compares = vec![leader.clone(), compare(key.clone(), *revision)];
                         out.push(Effect::CompareAndSwap(
@@ -110,7 +110,7 @@
             }
             // What is on its way serves the needs in their order; so does what is
             // left of a machine that is rented for one of them.
-            let on_the_way = self.credits.values().filter(|c| c.block == *b);
+            let on_the_way = self.credits.values().filter(|c| c.partition == *b);
             let mut rooms: Vec<Resources> = on_the_way
                 .flat_map(|c| std::iter::repeat_n(c.capacity, c.count as usize))
                 .collect();
@@ -177,7 +177,7 @@
         self.credits.insert(
             name.clone(),
             PendingCapacity {
-                block: rental.partition,
+                partition: rental.partition,
                 until,
                 capacity,
                 count: rental.count,
--- a/src/fleet/shards.rs
+++ b/src/autoscaler/shards.rs
@@ -1,6 +1,6 @@
-//! Where machines are recorded: which block gets one, and in which shard.
+//! Where machines are recorded: which partition gets one, and in which shard.
 
-use super::MachineType;
+use crate::cloud::MachineType;
 use crate::ids::{MachineId, PartitionId};
 use crate::mesh::PartitionState;
 use crate::partitions::{MachineRecord, MachinesRecord};
@@ -35,7 +35,7 @@
 
     fn shard(&mut self, at: (PartitionId, u32), others: usize) -> Option<&mut MachinesRecord> {
         if !self.shards.contains_key(&at) {
-            let old = self.cache.machines.get(&at);
+            let old = self.cache.machine_shards.get(&at);
             // One that is too large to be written is split first, in a write of its own.
             let oversize = old.is_some_and(|(_, rec)| rec.is_oversize(self.value_bytes));
             if oversize || self.full(others) {
@@ -49,7 +49,7 @@
         self.shards.get_mut(&at)
     }
 
-    /// Into the first shard of the block with room, or a new one.
+    /// Into the first shard of the partition with room, or a new one.
     pub fn insert(
         &mut self,
         b: PartitionId,
@@ -63,7 +63,7 @@
             let now = self
                 .shards
                 .get(&at)
-                .or_else(|| self.cache.machines.get(&at).map(|(_, r)| &**r));
+                .or_else(|| self.cache.machine_shards.get(&at).map(|(_, r)| &**r));
             if now.is_none_or(|r| r.has_room(&rec, self.value_bytes)) {
                 let Some(shard) = self.shard(at, others) else {
                     return false;
@@ -81,8 +81,8 @@
     }
 }
 
-/// Spreads machines over the blocks: to the one that lacks such a machine most, by
-/// what its holder reports and what it got just now, or to the one with the least.
+/// Spreads machines over the partitions: to the one that lacks such a machine most, by
+/// what its owner reports and what it got just now, or to the one with the least.
 pub struct PartitionBalancer<'a> {
     news: &'a BTreeMap<PartitionId, PartitionState>,
     types: &'a [MachineType],
@@ -95,9 +95,9 @@
         cache: &WatchCache,
         news: &'a BTreeMap<PartitionId, PartitionState>,
         types: &'a [MachineType],
-        blocks: &[PartitionId],
+        partitions: &[PartitionId],
     ) -> Self {
-        let mut cores: BTreeMap<PartitionId, f64> = blocks.iter().map(|b| (*b, 0.0)).collect();
+        let mut cores: BTreeMap<PartitionId, f64> = partitions.iter().map(|b| (*b, 0.0)).collect();
         for (b, _, m) in cache.all_machines() {
             if let (Some(sum), Some(t)) = (
                 cores.get_mut(&b),
--- a/src/fleet/client.rs
+++ b/src/cloud/client.rs
@@ -2,7 +2,7 @@
 
 use super::{CloudMachine, CloudReply, CloudRequest, MachineType};
 use crate::clock::MonotonicClock;
-use crate::controller::http::{HttpRequest, Pool};
+use crate::http_client::{HttpRequest, Pool};
 use crate::ids::MachineId;
 use crate::store::client::TokenBucket;
 use serde::Deserialize;
@@ -49,7 +49,7 @@
     }
 
     /// Asks once, as soon as the limit allows.
-    pub async fn ask(&self, request: &CloudRequest) -> CloudReply {
+    pub async fn execute(&self, request: &CloudRequest) -> CloudReply {
         match request {
             CloudRequest::MachineTypes => match self.send(http_request(request)).await {
                 Some((200, b)) => read(&b)
--- a/src/fleet/client/tests.rs
+++ b/src/cloud/client/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::fleet::InstanceState;
+use crate::cloud::InstanceState;
+use crate::cloud::ScaleOutRecord;
 use crate::ids::PartitionId;
-use crate::partitions::ScaleOutRecord;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// Asks a cloud that gives these answers: what it was sent, and what was read.
@@ -43,7 +43,7 @@
     };
     let local = tokio::task::LocalSet::new();
     local
-        .run_until(async { tokio::join!(serve, cloud.ask(&request)) })
+        .run_until(async { tokio::join!(serve, cloud.execute(&request)) })
         .await
 }
 
--- a/src/fleet/mod.rs
+++ b/src/cloud/mod.rs
@@ -1,11 +1,9 @@
 //! Machines of the cloud: types, renting, returning.
 
-pub mod autoscaler;
 pub mod client;
-mod shards;
 
 use crate::fairness::Resources;
-use crate::ids::MachineId;
+use crate::ids::{MachineId, PartitionId};
 use serde::{Deserialize, Serialize};
 
 /// A type of machine that the cloud rents out.
@@ -93,7 +91,7 @@
     /// The whole list, page by page.
     Machines,
     /// To rent machines, under this name.
-    ScaleOut(String, crate::partitions::ScaleOutRecord),
+    ScaleOut(String, ScaleOutRecord),
     /// To take machines back.
     Release(Vec<MachineId>),
 }
@@ -114,3 +112,21 @@
     /// Trouble, or no answer: it may still be carried out.
     Indeterminate,
 }
+
+/// A rental that was decided, recorded before the cloud is asked: a successor
+/// repeats it under the same name instead of renting again.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct ScaleOutRecord {
+    /// The type of the machines.
+    #[serde(rename = "build")]
+    pub machine_type: String,
+    /// Their zone.
+    pub zone: String,
+    /// Whether the cloud may take them back.
+    pub spot: bool,
+    /// How many.
+    pub count: u32,
+    /// The partition that they are for.
+    #[serde(rename = "block")]
+    pub partition: PartitionId,
+}
--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -9,19 +9,21 @@
 mod replies;
 mod zones;
 
+use crate::api::ports::{ApiView, HeartbeatAnswer};
 use crate::api::read_index::{self, ReadIndex};
+use crate::autoscaler::{self, Autoscaler, MachineTypes};
 use crate::clock::Micros;
-use crate::controller::messages::{Answer, ApiView, DirectAnswer, Effect, Input, StoreOperation};
+use crate::cloud::{CloudReply, CloudRequest};
+use crate::controller::messages::{DirectAnswer, Effect, Input, StoreOperation};
 use crate::fairness::Resources;
-use crate::fleet::autoscaler::{self, Autoscaler, MachineTypes};
-use crate::fleet::{CloudReply, CloudRequest};
 use crate::ids::{JobId, Label, PartitionId, Revision, Term};
 use crate::jobs::dependencies::{DependencyGraph, JobEnd};
+use crate::leader;
 use crate::mesh::{Message, PartitionState, PeerState};
+use crate::partition_owner::{self, OwnedPartition};
 use crate::partitions::lease::Lease;
 use crate::partitions::membership::Membership;
-use crate::partitions::owner::{self, OwnedPartition};
-use crate::partitions::{FormatLevel, FormatRecord, LeaderRecord, leader};
+use crate::partitions::{FormatLevel, FormatRecord, LeaderRecord};
 use crate::placement::CapacityRequest;
 use crate::policy::Policy;
 use crate::settings::Settings;
@@ -40,7 +42,7 @@
     settings: Rc<Settings>,
     policy: Rc<Policy>,
     cache: WatchCache,
-    /// The store's revision that the mirror has reached, and when the reading
+    /// The store's revision that the cache has reached, and when the reading
     /// that reached it was asked for.
     seen: Revision,
     read: Micros,
@@ -51,7 +53,7 @@
     held: BTreeMap<PartitionId, OwnedPartition>,
     read_index: ReadIndex,
     dependencies: DependencyGraph,
-    /// A block has come to us, and its jobs know nothing of the graph yet.
+    /// A partition has come to us, and its jobs know nothing of the graph yet.
     dependencies_unsynced: bool,
     /// The newest format that each controller was seen with.
     formats: BTreeMap<Label, FormatLevel>,
@@ -144,8 +146,8 @@
     }
 
     fn acting(&self, now: Micros) -> bool {
-        // Outside its lease a holder must not act: another may hold the block.
-        now < self.member.acts_until(self.read)
+        // Outside its lease an owner must not act: another may hold the partition.
+        now < self.member.may_act_until(self.read)
     }
 
     /// Takes one message in and says what is to be done. `now` is the steady clock, `day` the time of day.
@@ -200,16 +202,20 @@
                 out.extend(asked.map(read_index_effect));
             }
             Input::DirectCommandReply {
-                partition: block,
+                partition,
                 term,
                 machine,
                 answer,
             } => {
-                if let Some(h) = self.held.get_mut(&block).filter(|h| h.term == term) {
+                if let Some(h) = self.held.get_mut(&partition).filter(|h| h.term == term) {
                     match answer {
-                        DirectAnswer::Heartbeat(r) => h.direct_answer(now, &machine, Some(r)),
-                        DirectAnswer::Indeterminate => h.direct_answer(now, &machine, None),
-                        DirectAnswer::NotSent => h.direct_not_sent(now, &machine),
+                        DirectAnswer::Heartbeat(r) => {
+                            h.handle_direct_command_reply(now, &machine, Some(r))
+                        }
+                        DirectAnswer::Indeterminate => {
+                            h.handle_direct_command_reply(now, &machine, None)
+                        }
+                        DirectAnswer::NotSent => h.handle_direct_command_not_sent(now, &machine),
                     }
                 }
             }
@@ -241,7 +247,7 @@
     }
 
     /// The store has cancelled a job: nothing more of it starts here, whether or not
-    /// our reading has come so far. Until it has, the job may still come to a block of
+    /// our reading has come so far. Until it has, the job may still come to a partition of
     /// ours, so it is remembered.
     fn cancelled(&mut self, job: JobId, revision: Revision) {
         if revision <= self.seen {
@@ -259,23 +265,23 @@
         self.cancelled.retain(|(revision, _)| *revision > seen);
         for (_, job) in &self.cancelled {
             for h in self.held.values_mut() {
-                h.cancelled(job);
+                h.cancel_job(job);
             }
         }
     }
 
-    /// Decisions and writes of the held blocks. Not after each message: what many
+    /// Decisions and writes of the held partitions. Not after each message: what many
     /// messages changed is decided once.
     fn drive(&mut self, now: Micros, wall_clock: Micros, out: &mut Vec<Effect>) {
         let fleet = self.fleet;
-        let until = self.member.acts_until(self.read);
+        let until = self.member.may_act_until(self.read);
         for (b, h) in &mut self.held {
             h.tick(now, wall_clock, fleet);
             let term = h.term;
-            let mut effects = h.directs(now);
-            effects.extend(h.writes(now, wall_clock));
-            effects.extend(h.reads(now));
-            effects.extend(h.open(now, &self.cache));
+            let mut effects = h.take_direct_commands(now);
+            effects.extend(h.take_writes(now, wall_clock));
+            effects.extend(h.take_ended_job_reads(now));
+            effects.extend(h.record_used_machines(now, &self.cache));
             out.extend(
                 effects
                     .into_iter()
@@ -284,34 +290,34 @@
         }
     }
 
-    fn check_in(&mut self, now: Micros, wall_clock: Micros, r: &Heartbeat) -> Answer {
-        // Not recorded in a block, or given up: nobody may answer with a token. A
+    fn check_in(&mut self, now: Micros, wall_clock: Micros, r: &Heartbeat) -> HeartbeatAnswer {
+        // Not recorded in a partition, or given up: nobody may answer with a token. A
         // report alone never makes a machine one of ours: it may be a late copy.
         let found = self.cache.machine(&r.machine);
         let Some(((b, _), _)) = found.filter(|(_, m)| m.release_reason.is_none()) else {
-            return Answer::Unavailable;
+            return HeartbeatAnswer::Unavailable;
         };
-        let Some((_, rec)) = self.cache.holders.get(&b) else {
-            return Answer::Unavailable;
+        let Some((_, rec)) = self.cache.partition_owners.get(&b) else {
+            return HeartbeatAnswer::Unavailable;
         };
         if rec.owner != self.settings.label {
-            let alive = self.cache.holder_alive(rec);
+            let alive = self.cache.is_owner_alive(rec);
             return if alive {
-                Answer::Redirect(rec.owner.clone())
+                HeartbeatAnswer::Redirect(rec.owner.clone())
             } else {
-                Answer::Unavailable
+                HeartbeatAnswer::Unavailable
             };
         }
-        let until = self.member.acts_until(self.read);
+        let until = self.member.may_act_until(self.read);
         if now >= until {
-            return Answer::Unavailable;
+            return HeartbeatAnswer::Unavailable;
         }
         let fleet = self.fleet;
         let orders = self
             .held
             .get_mut(&b)
-            .and_then(|h| h.check_in(now, wall_clock, fleet, until, r));
-        orders.map_or(Answer::Unavailable, Answer::Accepted)
+            .and_then(|h| h.handle_heartbeat(now, wall_clock, fleet, until, r));
+        orders.map_or(HeartbeatAnswer::Unavailable, HeartbeatAnswer::Accepted)
     }
 
     /// One request of a kind at a time; a kind that hangs is freed in the end.
@@ -328,7 +334,7 @@
     }
 
     fn tick(&mut self, now: Micros, wall_clock: Micros, out: &mut Vec<Effect>) {
-        if let Some(request) = self.member.step(now) {
+        if let Some(request) = self.member.next_request(now) {
             out.push(Effect::StoreRequest {
                 operation: StoreOperation::Membership,
                 request,
--- a/src/controller/core/effects.rs
+++ b/src/controller/core/effects.rs
@@ -40,34 +40,38 @@
 }
 
 pub(super) fn holder_effect(
-    block: PartitionId,
+    partition: PartitionId,
     term: Term,
     until: Micros,
-    e: owner::Effect,
+    e: partition_owner::Effect,
 ) -> Effect {
     match e {
-        owner::Effect::SendDirectCommand(machine, addr, direct) => Effect::SendDirectCommand {
-            partition: block,
-            term,
-            machine,
-            addr,
-            command: direct,
-            send_before: until,
-        },
-        owner::Effect::ReadEnded(id) => {
-            read_ended(StoreOperation::UnknownJob(block, term, id.clone()), &id)
+        partition_owner::Effect::SendDirectCommand(machine, addr, direct) => {
+            Effect::SendDirectCommand {
+                partition,
+                term,
+                machine,
+                addr,
+                command: direct,
+                send_before: until,
+            }
+        }
+        partition_owner::Effect::ReadEnded(id) => {
+            read_ended(StoreOperation::UnknownJob(partition, term, id.clone()), &id)
+        }
+        partition_owner::Effect::CompareAndSwap(write, compares, mutations) => {
+            Effect::StoreRequest {
+                // Where changes are short, progress waits for all the others.
+                priority: match write {
+                    partition_owner::Write::Progress { .. } => RequestPriority::Background,
+                    _ => RequestPriority::Normal,
+                },
+                operation: StoreOperation::OwnedPartition(partition, term, write),
+                request: Request::CompareAndSwap {
+                    compares,
+                    mutations,
+                },
+            }
         }
-        owner::Effect::CompareAndSwap(write, compares, mutations) => Effect::StoreRequest {
-            // Where changes are short, progress waits for all the others.
-            priority: match write {
-                owner::Write::Progress { .. } => RequestPriority::Background,
-                _ => RequestPriority::Normal,
-            },
-            operation: StoreOperation::OwnedPartition(block, term, write),
-            request: Request::CompareAndSwap {
-                compares,
-                mutations,
-            },
-        },
     }
 }
--- a/src/controller/core/leading.rs
+++ b/src/controller/core/leading.rs
@@ -1,7 +1,7 @@
-//! Standing for leader and leading; telling the peers; handing blocks back.
+//! Standing for leader and leading; telling the peers; handing partitions back.
 
 use super::*;
-use crate::fleet::autoscaler::FleetSnapshot;
+use crate::autoscaler::FleetSnapshot;
 use zone_failover::leader::ScaleOutAccess;
 
 /// So many conditions for each change that a transaction may have.
@@ -50,7 +50,7 @@
             return;
         };
         if (self.leaderless.is_some() || self.leading().is_some())
-            && let Some(request) = self.leading_lease.step(now)
+            && let Some(request) = self.leading_lease.next_request(now)
         {
             out.push(Effect::StoreRequest {
                 operation: StoreOperation::LeaderLease,
@@ -59,7 +59,7 @@
             });
         }
         if let Some(since) = self.leaderless {
-            let Some(lease_id) = self.leading_lease.alive(now) else {
+            let Some(lease_id) = self.leading_lease.valid_lease_id(now) else {
                 return;
             };
             let candidate_state = if now < self.partitioned_until {
@@ -129,11 +129,11 @@
         }
         let since = self.leading_since.unwrap_or(now);
         let members = self.cache.members.len();
-        let blocks = self.policy.blocks(&self.settings);
+        let partitions = self.policy.partition_count(&self.settings);
         // At the very start, and after an end of all, others are about to join: one
         // member alone would get what is too much for one.
         if members >= self.settings.platform.initial_size
-            || !self.cache.holders.is_empty() && members as u64 >= blocks
+            || !self.cache.partition_owners.is_empty() && members as u64 >= partitions
             || now.since(since) > Micros::from_millis(2_000)
         {
             let fit = |l: &Label| self.fit(now, l);
@@ -141,7 +141,7 @@
                 &self.cache,
                 leader_cond.clone(),
                 &self.settings,
-                blocks,
+                partitions,
                 &fit,
             );
             if let Some((compares, mutations)) = grants
@@ -158,7 +158,7 @@
                 self.last_types = now;
                 out.push(Effect::Cloud(CloudRequest::MachineTypes));
             }
-            let news = self.all_block_states(now);
+            let news = self.all_partition_states(now);
             let leader_revision = self.cache.leader.as_ref().map_or(Revision(0), |(s, _)| *s);
             let zones = self.zones.as_ref();
             let access = |zone: &str| {
@@ -194,7 +194,7 @@
 
     /// Records the format level that every controller of the deployment has been seen with,
     /// once. Guards against a job that is accepted with others before it while a controller
-    /// of an earlier version may still come to hold its block, and would start it at once.
+    /// of an earlier version may still come to hold its partition, and would start it at once.
     fn raise_format(&mut self, now: Micros, leader: &store::Compare, out: &mut Vec<Effect>) {
         let known = self.cache.format_level();
         let seen = |l: &Label| self.formats.get(l).copied().unwrap_or_default();
@@ -222,8 +222,8 @@
         out.push(vital(StoreOperation::FormatLevel, compares, mutations));
     }
 
-    /// The newest word on every block, our own included.
-    fn all_block_states(&self, now: Micros) -> BTreeMap<PartitionId, PartitionState> {
+    /// The newest word on every partition, our own included.
+    fn all_partition_states(&self, now: Micros) -> BTreeMap<PartitionId, PartitionState> {
         let mut all: BTreeMap<PartitionId, PartitionState> = BTreeMap::new();
         let theirs = self.peers.values().flat_map(|(at, n)| {
             n.partitions.iter().map(move |b| PartitionState {
@@ -231,7 +231,7 @@
                 ..b.clone()
             })
         });
-        for n in theirs.chain(self.own_block_states(now)) {
+        for n in theirs.chain(self.own_partition_states(now)) {
             if all
                 .get(&n.partition)
                 .is_none_or(|o| (o.term, o.received_at) < (n.term, n.received_at))
@@ -242,24 +242,24 @@
         all
     }
 
-    fn own_block_states(&self, now: Micros) -> Vec<PartitionState> {
+    fn own_partition_states(&self, now: Micros) -> Vec<PartitionState> {
         let news = |h: &OwnedPartition| PartitionState {
             received_at: now,
-            partition: h.block,
+            partition: h.id,
             term: h.term,
-            capacity_requests: self.needs.get(&h.block).cloned().unwrap_or_default(),
-            releasable_machines: h.dead(now),
+            capacity_requests: self.needs.get(&h.id).cloned().unwrap_or_default(),
+            releasable_machines: h.releasable_machines(now),
         };
         self.held.values().map(news).collect()
     }
 
-    fn peer_state(&self, now: Micros, blocks: Vec<PartitionState>) -> Effect {
+    fn peer_state(&self, now: Micros, partitions: Vec<PartitionState>) -> Effect {
         Effect::Mesh(Message::PeerState(PeerState {
             sender: self.settings.label.clone(),
             incarnation: self.member.incarnation().unwrap_or_default(),
             store_reachable: self.store_ok(now),
             workers_reachable: now >= self.partitioned_until,
-            partitions: blocks,
+            partitions,
         }))
     }
 
@@ -272,7 +272,7 @@
         due
     }
 
-    /// Tells the peers that we are there, and nothing of the blocks. Guards against an
+    /// Tells the peers that we are there, and nothing of the partitions. Guards against an
     /// outage of the store in which all controllers stop acting, think that they are alone,
     /// and turn unhealthy: users were not even refused.
     pub(super) fn tell_alive(&mut self, now: Micros, out: &mut Vec<Effect>) {
@@ -290,18 +290,21 @@
         self.needs = self
             .held
             .iter()
-            .map(|(b, h)| (*b, h.needs(now, wall_clock, fleet)))
+            .map(|(b, h)| (*b, h.capacity_requests(now, wall_clock, fleet)))
             .collect();
-        let blocks = self.own_block_states(now);
-        for n in blocks.iter().filter(|n| !n.releasable_machines.is_empty()) {
+        let partitions = self.own_partition_states(now);
+        for n in partitions
+            .iter()
+            .filter(|n| !n.releasable_machines.is_empty())
+        {
             if let Some(h) = self.held.get_mut(&n.partition) {
-                h.condemn(&n.releasable_machines);
+                h.cordon(&n.releasable_machines);
             }
         }
-        out.push(self.peer_state(now, blocks));
+        out.push(self.peer_state(now, partitions));
         out.extend(self.zone_evidence(now));
-        let all = self.all_block_states(now);
-        let until = self.member.acts_until(self.read);
+        let all = self.all_partition_states(now);
+        let until = self.member.may_act_until(self.read);
         for (b, h) in &mut self.held {
             let others: Vec<CapacityRequest> = all
                 .iter()
@@ -309,7 +312,7 @@
                 .flat_map(|(_, n)| n.capacity_requests.iter().cloned())
                 .collect();
             let own = self.needs.get(b).map(Vec::as_slice).unwrap_or_default();
-            if let Some(e) = h.give_up(now, &self.cache, own, &others) {
+            if let Some(e) = h.release_idle_machines(now, &self.cache, own, &others) {
                 out.push(holder_effect(*b, h.term, until, e));
             }
         }
@@ -317,8 +320,8 @@
             self.last_sums = now;
             let mut sums = BTreeMap::new();
             for h in self.held.values_mut() {
-                h.log_use(now);
-                sums.extend(h.sums(fleet));
+                h.log_usage(now);
+                sums.extend(h.team_heaviness(fleet));
             }
             let mutations = vec![store::put(keys::team_usage(&self.settings.label), &sums)];
             let request = Request::CompareAndSwap {
@@ -333,12 +336,12 @@
         }
     }
 
-    /// Hands blocks back: all if we hear no machine, one if others hold fewer.
+    /// Hands partitions back: all if we hear no machine, one if others hold fewer.
     pub(super) fn resign(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        // Guards against a block stuck with a holder that hears neither its machines
+        // Guards against a partition stuck with an owner that hears neither its machines
         // nor any peer: that others are in, the store says, too.
         let alone = self.cache.members.len() < 2;
-        if !alone && self.held.values().any(|h| h.partitioned(now)) {
+        if !alone && self.held.values().any(|h| h.is_isolated(now)) {
             if now >= self.partitioned_until {
                 tracing::info!("none of our machines is heard: handing our blocks back");
             }
@@ -349,7 +352,7 @@
             return;
         }
         // What was asked for without an answer must be settled one way or the other.
-        self.hand_back(now, OwnedPartition::resigns, out);
+        self.hand_back(now, OwnedPartition::is_being_handed_back, out);
         let others = self
             .cache
             .members
@@ -359,9 +362,9 @@
             .filter(|l| self.fit(now, l) && self.peers.contains_key(*l))
             .map(|l| {
                 self.cache
-                    .holders
+                    .partition_owners
                     .values()
-                    .filter(|(_, r)| r.owner == *l && self.cache.holder_alive(r))
+                    .filter(|(_, r)| r.owner == *l && self.cache.is_owner_alive(r))
                     .count()
             })
             .collect();
@@ -371,15 +374,15 @@
         let settled = self
             .held
             .values()
-            .all(|h| !h.recovery() && now.since(h.granted) > Micros::from_millis(5_000));
+            .all(|h| !h.is_recovering() && now.since(h.granted_at) > Micros::from_millis(5_000));
         if self.held.len() >= least + 2
             && settled
             && now.since(self.last_resign) > Micros::from_millis(10_000)
         {
             self.last_resign = now;
             if let Some(last) = self.held.keys().next_back().copied() {
-                tracing::info!(block = %last, "another member holds fewer blocks: handing one over");
-                self.hand_back(now, |h| h.block == last, out);
+                tracing::info!(partition = %last, "another member holds fewer blocks: handing one over");
+                self.hand_back(now, |h| h.id == last, out);
             }
         }
     }
@@ -391,9 +394,9 @@
         out: &mut Vec<Effect>,
     ) {
         for h in self.held.values_mut().filter(|h| which(h)) {
-            if let Some((compares, mutations)) = h.resign(now) {
+            if let Some((compares, mutations)) = h.hand_back(now) {
                 out.push(vital(
-                    StoreOperation::HandBackPartition(h.block, h.term),
+                    StoreOperation::HandBackPartition(h.id, h.term),
                     compares,
                     mutations,
                 ));
--- a/src/controller/core/readings.rs
+++ b/src/controller/core/readings.rs
@@ -1,4 +1,4 @@
-//! What was read of the store, and what follows from it: the blocks held, the dependency
+//! What was read of the store, and what follows from it: the partitions held, the dependency
 //! graph, and what the users' side is told.
 
 use super::*;
@@ -17,7 +17,7 @@
         let (mut jobs, mut machines, mut pages) = (Vec::new(), Vec::new(), Vec::new());
         let mut others = false;
         for change in log {
-            match self.cache.change(change) {
+            match self.cache.apply_event(change) {
                 CacheChange::Job(id) => jobs.push(id),
                 CacheChange::Shard(b, shard) => machines.push((b, shard)),
                 CacheChange::ProgressPage(id, page) => pages.push((id, page)),
@@ -32,21 +32,21 @@
         if quiet {
             return;
         }
-        // Grants first: a block that is no longer ours must not be told of jobs.
+        // Grants first: a partition that is no longer ours must not be told of jobs.
         if others || !machines.is_empty() {
             self.changed(now, out);
         }
         let types = self.types.clone().unwrap_or_default();
         for h in self.held.values_mut() {
             for id in &jobs {
-                h.sync_job(id, &self.cache);
+                h.reconcile_job(id, &self.cache);
             }
             for (id, page) in &pages {
-                h.sync_page(id, *page, &self.cache);
+                h.reconcile_progress_page(id, *page, &self.cache);
             }
-            let block = h.block;
-            for (_, shard) in machines.iter().filter(|(b, _)| *b == block) {
-                h.sync_shard(now, *shard, &self.cache, &types, false);
+            let partition = h.id;
+            for (_, shard) in machines.iter().filter(|(b, _)| *b == partition) {
+                h.reconcile_shard(now, *shard, &self.cache, &types, false);
             }
         }
         self.stop_cancelled();
@@ -60,13 +60,13 @@
         out.extend(asked.into_iter().map(read_index_effect));
     }
 
-    /// The held blocks learn what changed in the dependency graph, and ends that it lacks
+    /// The held partitions learn what changed in the dependency graph, and ends that it lacks
     /// are read.
     pub(super) fn sync_dependencies(&mut self, now: Micros, out: &mut Vec<Effect>) {
         let changed = self.dependencies.refresh(&self.cache.jobs);
         if std::mem::take(&mut self.dependencies_unsynced) || changed {
             for h in self.held.values_mut() {
-                h.sync_dependencies(&self.dependencies);
+                h.update_dependencies(&self.dependencies);
             }
         }
         let reads = self.dependencies.reads(now);
@@ -74,7 +74,7 @@
         out.extend(reads.into_iter().map(read));
     }
 
-    /// After the mirror or our membership changed: what we hold, and the view.
+    /// After the cache or our membership changed: what we hold, and the view.
     pub(super) fn changed(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if let Some((_, t)) = &self.cache.types
             && self.types.as_ref().is_none_or(|old| **old != *t)
@@ -103,21 +103,21 @@
         let cache = &self.cache;
         self.held.retain(|b, h| {
             let keep = cache
-                .holders
+                .partition_owners
                 .get(b)
                 .is_some_and(|(_, rec)| ours(rec) && rec.term == h.term);
             if !keep {
-                tracing::info!(block = %b, term = %h.term, "block is no longer ours");
+                tracing::info!(partition = %b, term = %h.term, "block is no longer ours");
             }
             keep
         });
         if let Some(types) = self.types.clone() {
-            for (b, (revision, rec)) in &self.cache.holders {
+            for (b, (revision, rec)) in &self.cache.partition_owners {
                 if ours(rec) && !self.held.contains_key(b) {
-                    tracing::info!(block = %b, term = %rec.term, "block is ours");
+                    tracing::info!(partition = %b, term = %rec.term, "block is ours");
                     let mut h =
                         OwnedPartition::new(*b, rec, *revision, &self.settings, &self.policy, now);
-                    h.take_over(now, &self.cache, &types);
+                    h.fail_over(now, &self.cache, &types);
                     self.held.insert(*b, h);
                     self.dependencies_unsynced = true;
                 }
@@ -140,11 +140,11 @@
     pub(super) fn publish(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.last_publish = now;
         let s = &self.settings;
-        let blocks = self.policy.blocks(s);
+        let partitions = self.policy.partition_count(s);
         let teams = (0..s.platform.teams.len())
             .map(|t| {
-                let b = leader::block_of(&self.cache, s, blocks, t);
-                let rec = self.cache.holders.get(&b);
+                let b = leader::block_of(&self.cache, s, partitions, t);
+                let rec = self.cache.partition_owners.get(&b);
                 rec.map_or((b, Revision(0), Term(0)), |(revision, rec)| {
                     (b, *revision, rec.term)
                 })
--- a/src/controller/core/replies.rs
+++ b/src/controller/core/replies.rs
@@ -13,13 +13,13 @@
         match tag {
             StoreOperation::Membership => {
                 let before = self.member.incarnation();
-                self.member.reply(now, reply);
+                self.member.handle_reply(now, reply);
                 if self.member.incarnation() != before {
                     tracing::info!(incarnation = ?self.member.incarnation(), "membership");
                     self.changed(now, out);
                 }
             }
-            StoreOperation::LeaderLease => self.leading_lease.reply(now, reply),
+            StoreOperation::LeaderLease => self.leading_lease.handle_reply(now, reply),
             StoreOperation::Candidacy => {
                 self.out.remove("candidacy");
             }
@@ -27,7 +27,7 @@
                 self.out.remove("step_down");
             }
             StoreOperation::PartitionGrants => {
-                // Until the mirror shows them, the same grants would be tried again.
+                // Until the cache shows them, the same grants would be tried again.
                 if !matches!(reply, Reply::Committed(_)) {
                     self.out.remove("grants");
                 } else {
@@ -40,10 +40,10 @@
             }
             StoreOperation::HandBackPartition(b, term) => {
                 if let Some(h) = self.held.get_mut(&b).filter(|h| h.term == term) {
-                    h.resigned(reply);
+                    h.handle_hand_back_reply(reply);
                 }
             }
-            // Until the mirror shows it, the same would be written again.
+            // Until the cache shows it, the same would be written again.
             StoreOperation::FormatLevel if matches!(reply, Reply::Committed(_)) => {}
             StoreOperation::FormatLevel => {
                 self.out.remove("format");
@@ -64,13 +64,13 @@
             }
             StoreOperation::UnknownJob(b, term, id) => {
                 if let Some(h) = self.held.get_mut(&b).filter(|h| h.term == term) {
-                    h.read_ended(now, &id, reply);
+                    h.handle_ended_job_reply(now, &id, reply);
                 }
             }
             StoreOperation::OwnedPartition(b, term, write) => {
                 self.ends_stored(&write, reply);
                 if let Some(h) = self.held.get_mut(&b).filter(|h| h.term == term) {
-                    h.stored(now, write, reply);
+                    h.handle_store_reply(now, write, reply);
                 }
                 self.sync_dependencies(now, out);
             }
@@ -82,15 +82,16 @@
                     .as_ref()
                     .is_some_and(|(s, _)| *s == leader_revision)
                 {
-                    self.manager.stored(now, write, reply);
+                    self.manager.handle_store_reply(now, write, reply);
                 }
             }
         }
     }
 
     /// Ends that the store has confirmed are known without another read.
-    pub(super) fn ends_stored(&mut self, write: &owner::Write, reply: &Reply) {
-        let (owner::Write::Ends { ends, at, .. }, Reply::Committed(revision)) = (write, reply)
+    pub(super) fn ends_stored(&mut self, write: &partition_owner::Write, reply: &Reply) {
+        let (partition_owner::Write::Ends { ends, at, .. }, Reply::Committed(revision)) =
+            (write, reply)
         else {
             return;
         };
@@ -108,7 +109,7 @@
         out: &mut Vec<Effect>,
     ) {
         if request != CloudRequest::MachineTypes {
-            self.manager.cloud(now, request, reply);
+            self.manager.handle_cloud_reply(now, request, reply);
             return;
         }
         let CloudReply::MachineTypes(types) = reply else {
--- a/src/controller/core/zones.rs
+++ b/src/controller/core/zones.rs
@@ -1,5 +1,5 @@
 //! Zone failover, where it is on: what is seen of the zones, what the leader commits, and
-//! what the held blocks are told.
+//! what the held partitions are told.
 
 use super::health::SILENT_PEER;
 use super::*;
@@ -7,14 +7,14 @@
 use zone_failover::evidence::ZoneCounts;
 
 impl Core {
-    /// Takes in what was read of the zones, and tells the held blocks.
+    /// Takes in what was read of the zones, and tells the held partitions.
     pub(super) fn sync_zones(&mut self, now: Micros) {
         let Some(zones) = &mut self.zones else {
             return;
         };
         zones.tick(now, &self.cache);
         for h in self.held.values_mut() {
-            h.set_zones(now, &zones.config, zones.situation());
+            h.update_zones(now, &zones.config, zones.situation());
         }
     }
 
@@ -56,7 +56,7 @@
         if now < self.partitioned_until || self.isolated(now) || !self.store_ok(now) {
             return Vec::new();
         }
-        let mut machines: BTreeMap<ZoneId, owner::MachineCounts> = BTreeMap::new();
+        let mut machines: BTreeMap<ZoneId, partition_owner::MachineCounts> = BTreeMap::new();
         for (zone, counts) in self.held.values().flat_map(|h| h.zone_counts(now)) {
             let sum = machines.entry(zone).or_default();
             sum.machines += counts.machines;
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -1,13 +1,15 @@
 //! What the core is told and what it decides: messages and effects, types only.
 
+use crate::api::ports::{ApiView, HeartbeatAnswer};
 use crate::api::read_index::JobLookup;
+use crate::autoscaler;
 use crate::clock::Micros;
-use crate::fleet::{CloudReply, CloudRequest, MachineType, autoscaler};
-use crate::ids::{JobId, Label, MachineId, PartitionId, Revision, Term};
+use crate::cloud::{CloudReply, CloudRequest};
+use crate::ids::{JobId, MachineId, PartitionId, Revision, Term};
 use crate::mesh::Message;
-use crate::partitions::{FormatLevel, owner};
+use crate::partition_owner;
 use crate::store::{KeyValue, Reply, Request, RequestPriority, WatchEvent};
-use crate::workers::{DirectCommand, Heartbeat, HeartbeatResponse};
+use crate::workers::{DirectCommand, Heartbeat};
 use std::sync::Arc;
 
 /// Who asked the store, as the answer comes back.
@@ -21,19 +23,19 @@
     Candidacy,
     /// Giving up the lead.
     StepDown,
-    /// Grants of blocks.
+    /// Grants of partitions.
     PartitionGrants,
     /// The list of machine types.
     MachineTypes,
     /// The teams' sums.
     TeamUsage,
-    /// Handing a block back.
+    /// Handing a partition back.
     HandBackPartition(PartitionId, Term),
-    /// A holder's write, for the block and the term that it was made under.
-    OwnedPartition(PartitionId, Term, owner::Write),
+    /// An owner's write, for the partition and the term that it was made under.
+    OwnedPartition(PartitionId, Term, partition_owner::Write),
     /// The record of an ended job that a user asks about.
     EndedJobLookup(JobId),
-    /// A job that a holder does not know, but a machine of its block shows.
+    /// A job that an owner does not know, but a machine of its partition shows.
     UnknownJob(PartitionId, Term, JobId),
     /// The record of an ended job that others need.
     DependencyEnd(JobId),
@@ -93,7 +95,7 @@
     },
     /// What became of a direct command.
     DirectCommandReply {
-        /// The block that the machine was in.
+        /// The partition that the machine was in.
         partition: PartitionId,
         /// The term under which it was sent.
         term: Term,
@@ -131,17 +133,6 @@
     Indeterminate,
 }
 
-/// The answer to a worker's report.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Answer {
-    /// 200: the token and what to do.
-    Accepted(HeartbeatResponse),
-    /// 421: another node answers this machine.
-    Redirect(Label),
-    /// 503: nobody is known to be entitled just now.
-    Unavailable,
-}
-
 /// What the core wants done.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
@@ -159,7 +150,7 @@
         /// Of the report.
         request_id: u64,
         /// The answer.
-        answer: Answer,
+        answer: HeartbeatAnswer,
     },
     /// Answer a question how a job stands.
     AnswerJobLookup {
@@ -170,7 +161,7 @@
     },
     /// Send a direct command.
     SendDirectCommand {
-        /// The block that the machine is in.
+        /// The partition that the machine is in.
         partition: PartitionId,
         /// The term under which it is sent.
         term: Term,
@@ -190,16 +181,3 @@
     /// Publish what the users' side needs to know.
     PublishView(Arc<ApiView>),
 }
-
-/// What the users' side needs to know, published whenever it changes.
-#[derive(Debug, Clone, PartialEq, Default)]
-pub struct ApiView {
-    /// The machine types, once they are known.
-    pub types: Option<Arc<Vec<MachineType>>>,
-    /// For each team: its block, and the revision and term of the block's grant.
-    pub teams: Vec<(PartitionId, Revision, Term)>,
-    /// Whether users should come to this controller.
-    pub healthy: bool,
-    /// The format level that every controller understands.
-    pub format: FormatLevel,
-}
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,27 +1,28 @@
 //! The controller: one core that decides, and the thin tasks around it.
 
 pub mod core;
-pub mod http;
 pub mod messages;
 #[cfg(test)]
 mod tests;
 
+use crate::api::ports::{ApiView, HeartbeatAnswer};
+use crate::api::ports::{CancelledJob, HeartbeatRequest, StatusQuery, StoreQuery};
 use crate::api::{self, read_index::JobLookup};
 use crate::clock::{Micros, MonotonicClock, time_of_day};
-use crate::fleet::client::CloudClient;
-use crate::ids::{JobId, Revision};
+use crate::cloud::client::CloudClient;
+use crate::http_client::{Failure, HttpRequest, Pool, Pools};
+
 use crate::mesh;
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::settings::sockets::{CLOUD_SOCKETS, STORE_SOCKETS};
+use crate::store::RequestPriority;
 use crate::store::client::{KvClient, WatchResponse};
-use crate::store::{Reply, Request, RequestPriority};
 use crate::subsystems::Subsystems;
 use crate::workers::{DirectCommand, Heartbeat};
 use bytes::Bytes;
 use core::Core;
-use http::{Failure, HttpRequest, Pool, Pools};
-use messages::{Answer, ApiView, DirectAnswer, Effect, Input};
+use messages::{DirectAnswer, Effect, Input};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -29,38 +30,6 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_local;
 
-/// A question to the state service from the users' side.
-pub struct Question {
-    /// What to ask.
-    pub request: Request,
-    /// Where the reply goes.
-    pub answer: oneshot::Sender<Reply>,
-}
-
-/// A worker's report and where its answer goes.
-pub struct HeartbeatRequest {
-    /// What the worker reported.
-    pub report: Heartbeat,
-    /// Where the answer goes.
-    pub answer: oneshot::Sender<Answer>,
-}
-
-/// A cancellation that the store has confirmed.
-pub struct Cancelled {
-    /// The cancelled job.
-    pub job: JobId,
-    /// The store's revision at which it was cancelled.
-    pub revision: Revision,
-}
-
-/// A user's question how a job stands.
-pub struct StatusQuery {
-    /// The job that is asked about.
-    pub id: JobId,
-    /// Where the answer goes.
-    pub answer: oneshot::Sender<JobLookup>,
-}
-
 const TICK: Duration = Duration::from_millis(50);
 /// Watches are reopened no faster than this.
 const WATCH_GAP: Duration = Duration::from_millis(120);
@@ -103,8 +72,8 @@
     let (inputs, inbox) = mpsc::channel::<Input>(1024);
     let (reports, arrivals) = mpsc::channel::<HeartbeatRequest>(1024);
     let (asks, asking) = mpsc::channel::<StatusQuery>(1024);
-    let (questions, asked) = mpsc::channel::<Question>(256);
-    let (cancels, cancelled) = mpsc::channel::<Cancelled>(256);
+    let (questions, asked) = mpsc::channel::<StoreQuery>(256);
+    let (cancels, cancelled) = mpsc::channel::<CancelledJob>(256);
     let (view_out, view) = watch::channel(Arc::new(ApiView::default()));
 
     let listener = tokio::net::TcpListener::bind(settings.mesh_addr)
@@ -113,7 +82,7 @@
     let (messages_in, messages) = mpsc::channel(64);
     spawn_local(mesh::listen(listener, sockets.peers, messages_in));
     spawn_local(forward(messages, inputs.clone(), Input::Mesh));
-    let as_input = |Cancelled { job, revision }| Input::Cancelled { job, revision };
+    let as_input = |CancelledJob { job, revision }| Input::Cancelled { job, revision };
     spawn_local(forward(cancelled, inputs.clone(), as_input));
     let mut peers = Vec::new();
     for seed in &settings.seeds {
@@ -124,7 +93,7 @@
     spawn_local(watch_store(store.clone(), clock, inputs.clone()));
     spawn_local(answer_questions(store.clone(), asked));
     let shared = Arc::new(settings.clone());
-    let ports = api::Ports {
+    let ports = api::ports::ApiChannels {
         view,
         questions,
         reports,
@@ -169,11 +138,11 @@
     }
 }
 
-/// Keeps the mirror up to date: one full reading, then changes only.
+/// Keeps the cache up to date: one full reading, then changes only.
 async fn watch_store(store: KvClient, clock: MonotonicClock, inputs: mpsc::Sender<Input>) {
     loop {
         let sent = clock.now();
-        let Some((rows, revision)) = store.load().await else {
+        let Some((rows, revision)) = store.load_all().await else {
             tokio::time::sleep(Duration::from_millis(300)).await;
             continue;
         };
@@ -191,7 +160,7 @@
         let mut since = revision;
         loop {
             let sent = clock.now();
-            match store.follow(since).await {
+            match store.watch(since).await {
                 WatchResponse::Events(log, revision) => {
                     since = revision.max(since);
                     if inputs
@@ -214,13 +183,13 @@
     }
 }
 
-async fn answer_questions(store: KvClient, mut asked: mpsc::Receiver<Question>) {
+async fn answer_questions(store: KvClient, mut asked: mpsc::Receiver<StoreQuery>) {
     while let Some(q) = asked.recv().await {
         let store = store.clone();
         spawn_local(async move {
             let _ = q
                 .answer
-                .send(store.ask(q.request, RequestPriority::Normal).await);
+                .send(store.execute(q.request, RequestPriority::Normal).await);
         });
     }
 }
@@ -256,7 +225,7 @@
     peers: Vec<mpsc::Sender<Bytes>>,
     view_out: watch::Sender<Arc<ApiView>>,
     workers: Pools,
-    request_ids: BTreeMap<u64, oneshot::Sender<Answer>>,
+    request_ids: BTreeMap<u64, oneshot::Sender<HeartbeatAnswer>>,
     questions: BTreeMap<u64, oneshot::Sender<JobLookup>>,
     next: u64,
 }
@@ -304,7 +273,7 @@
             } => {
                 let store = self.store.clone();
                 spawn_local(async move {
-                    let reply = store.ask(request, priority).await;
+                    let reply = store.execute(request, priority).await;
                     tracing::debug!(?tag, ?reply, "stored");
                     let _ = inputs
                         .send(Input::StoreReply {
@@ -328,7 +297,7 @@
                 }
             }
             Effect::SendDirectCommand {
-                partition: block,
+                partition,
                 term,
                 machine,
                 addr,
@@ -341,7 +310,7 @@
                     let answer = direct(&worker, orders, DO_DEADLINE.min(within)).await;
                     let _ = inputs
                         .send(Input::DirectCommandReply {
-                            partition: block,
+                            partition,
                             term,
                             machine,
                             answer,
@@ -352,7 +321,7 @@
             Effect::Cloud(request) => {
                 let cloud = self.cloud.clone();
                 spawn_local(async move {
-                    let reply = cloud.ask(&request).await;
+                    let reply = cloud.execute(&request).await;
                     let _ = inputs.send(Input::CloudReply { request, reply }).await;
                 });
             }
--- a/src/controller/tests/added.rs
+++ b/src/controller/tests/added.rs
@@ -4,8 +4,8 @@
 
 use super::started;
 use super::world::{World, secs};
+use crate::api::ports::HeartbeatAnswer;
 use crate::api::read_index::JobLookup;
-use crate::controller::messages::Answer;
 use crate::ids::FencingToken;
 use crate::jobs::JobState;
 use crate::jobs::tests::desc;
@@ -61,7 +61,7 @@
     assert_eq!(w.running("j-1/0"), vec![1 - unreachable]);
 }
 
-/// Seen at a holder out of sockets: its workers could not connect, but it spoke to
+/// Seen at an owner out of sockets: its workers could not connect, but it spoke to
 /// them, and took each session for over by the age of the last answered report.
 #[test]
 fn a_machine_heard_by_direct_words_alone_is_not_over_in_its_next_session() {
@@ -91,14 +91,17 @@
     w.submit(&desc("j-1", 4));
     w.pass(3.0);
     let at = w.running("j-1/0")[0];
-    let holder = w.holder();
+    let owner = w.owner();
     let runs = w.workers[at].report();
     w.pass(2.0);
     // Seconds late: the tasks that it shows have ended since.
     w.finish_all();
     w.pass(5.0);
     assert_eq!(w.ended("j-1"), Some(JobState::Done));
-    assert_eq!(w.late_copy(holder, &runs), Some(Answer::Unavailable));
+    assert_eq!(
+        w.late_copy(owner, &runs),
+        Some(HeartbeatAnswer::Unavailable)
+    );
     w.pass(5.0);
     assert_eq!(w.all_running(), 0);
     // Well over a lease late, from an earlier session: it proves no life.
@@ -112,8 +115,8 @@
     copy.tasks.clear();
     for _ in 0..20 {
         w.pass(2.0);
-        w.late_copy(holder, &copy);
-        w.late_copy(holder, &blank);
+        w.late_copy(owner, &copy);
+        w.late_copy(owner, &blank);
     }
     assert_ne!(
         w.running("j-2/0"),
@@ -124,7 +127,7 @@
 }
 
 #[test]
-fn a_late_copy_after_a_take_over_settles_nothing() {
+fn a_late_copy_after_a_failover_settles_nothing() {
     let mut w = started(2, 2);
     w.submit(&desc("j-0", 1));
     w.pass(3.0);
@@ -134,25 +137,25 @@
     w.submit(&desc("j-1", 4));
     w.pass(3.0);
     assert_eq!(w.running("j-1/0").len(), 1);
-    let before = w.holder();
+    let before = w.owner();
     for worker in &mut w.workers {
         worker.cut = true;
     }
     w.cloud_down = true;
     w.crash(before);
     w.pass(22.0);
-    let holder = w.holder();
-    assert_ne!(holder, before);
+    let owner = w.owner();
+    assert_ne!(owner, before);
     for mut copy in copies {
-        // It is the first that the new holder hears, and newer than nothing.
-        let told = w.late_copy(holder, &copy);
+        // It is the first that the new owner hears, and newer than nothing.
+        let told = w.late_copy(owner, &copy);
         assert!(
-            matches!(told, Some(Answer::Accepted(o)) if o.commands.is_empty()),
+            matches!(told, Some(HeartbeatAnswer::Accepted(o)) if o.commands.is_empty()),
             "the token at most"
         );
-        // Not even one that has seen a lower term of the new holder's own.
+        // Not even one that has seen a lower term of the new owner's own.
         copy.fencing_token = FencingToken(copy.fencing_token.0 + 1);
-        w.late_copy(holder, &copy);
+        w.late_copy(owner, &copy);
     }
     w.workers[1 - at].cut = false;
     // Had the copy counted, j-1 would be started once more on the other machine.
@@ -170,7 +173,7 @@
     w.workers[with].cut = true;
     w.pass(20.0);
     assert!(w.returned.contains(&w.workers[with].id));
-    assert_eq!(w.late_copy(0, &copy), Some(Answer::Unavailable));
+    assert_eq!(w.late_copy(0, &copy), Some(HeartbeatAnswer::Unavailable));
     w.pass(5.0);
     let recorded = w
         .store
@@ -191,7 +194,7 @@
     let mut w = started(3, 2);
     w.submit(&desc("j-1", 4));
     w.pass(3.0);
-    let cut = w.holder();
+    let cut = w.owner();
     assert!(w.nodes[cut].view.healthy);
     w.nodes[cut].no_store = true;
     w.nodes[cut].no_peers = true;
@@ -201,19 +204,19 @@
     let r = w.workers[0].report();
     assert_eq!(
         w.late_copy(cut, &r),
-        Some(Answer::Unavailable),
+        Some(HeartbeatAnswer::Unavailable),
         "its lease is over"
     );
-    let holder = w.holder();
-    assert_ne!(holder, cut);
+    let owner = w.owner();
+    assert_ne!(owner, cut);
     w.pass(6.0);
-    assert!(w.workers.iter().all(|m| m.node == Some(holder)));
+    assert!(w.workers.iter().all(|m| m.node == Some(owner)));
     assert_eq!(w.all_running(), 4, "and nothing was lost");
     w.nodes[cut].no_store = false;
     w.nodes[cut].no_peers = false;
     w.pass(3.0);
     assert!(w.nodes[cut].view.healthy);
-    w.crash(holder);
+    w.crash(owner);
     w.submit(&desc("j-2", 2));
     w.pass(30.0);
     assert_eq!(w.running("j-2/0").len(), 1, "it serves again");
@@ -263,8 +266,8 @@
     w.pass(4.0);
     assert_eq!(w.all_running(), 4);
     assert!(attempts(&w).iter().all(|a| !first.contains(a)));
-    let holders = w.store.keys.keys().filter(|k| k.ends_with("/holder"));
-    assert_eq!(holders.count(), 1);
+    let owners = w.store.keys.keys().filter(|k| k.ends_with("/holder"));
+    assert_eq!(owners.count(), 1);
     let members = w.store.keys.keys().filter(|k| k.starts_with("r/members/"));
     assert_eq!(members.count(), 3, "and every controller is in");
 }
@@ -352,7 +355,7 @@
     let mut w = started(3, 2);
     w.submit(&desc("j-1", 2));
     w.pass(3.0);
-    let away = (w.holder() + 1) % 3;
+    let away = (w.owner() + 1) % 3;
     w.nodes[away].no_store = true;
     w.finish_all();
     w.pass(4.0);
@@ -361,7 +364,7 @@
     }
     w.pass(20.0);
     assert_eq!(w.ended("j-1"), Some(JobState::Done));
-    // Its mirror stands still: it must not tell of the past, and says so at once.
+    // Its cache stands still: it must not tell of the past, and says so at once.
     w.ask_for(away, "j-1", 1);
     assert_eq!(w.found.pop(), Some((away, 1, JobLookup::Unavailable)));
     w.store.down = true;
--- a/src/controller/tests/characterization.rs
+++ b/src/controller/tests/characterization.rs
@@ -7,12 +7,13 @@
 //! `INSTA_UPDATE=always cargo test --lib characterization`, and says so in its commit.
 
 use super::pairs::{Kind, recorded_pair};
+use crate::api::ports::{ApiView, HeartbeatAnswer};
 use crate::api::read_index::JobLookup;
 use crate::clock::Micros;
 use crate::controller::direct_request;
-use crate::controller::http::HttpRequest;
-use crate::controller::messages::{Answer, ApiView, Effect};
-use crate::{fleet, mesh, store};
+use crate::controller::messages::Effect;
+use crate::http_client::HttpRequest;
+use crate::{cloud, mesh, store};
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -76,7 +77,7 @@
             let http = direct_request(direct).expect("a direct command is JSON");
             ("direct", format!("{addr} {} {}", until.0, http_form(&http)))
         }
-        Effect::Cloud(request) => ("cloud", http_form(&fleet::client::http_request(request))),
+        Effect::Cloud(request) => ("cloud", http_form(&cloud::client::http_request(request))),
         Effect::Mesh(message) => {
             let frame = mesh::encode(message).expect("a message has a frame");
             ("mesh", format!("{frame:?}"))
@@ -93,11 +94,13 @@
     format!("{} {} {body}", request.method, request.path)
 }
 
-fn worker_form(answer: &Answer) -> String {
+fn worker_form(answer: &HeartbeatAnswer) -> String {
     match answer {
-        Answer::Accepted(orders) => format!("200 {} {}", orders.valid_until.0, json!(orders)),
-        Answer::Redirect(label) => format!("421 {label}"),
-        Answer::Unavailable => "503".to_owned(),
+        HeartbeatAnswer::Accepted(orders) => {
+            format!("200 {} {}", orders.valid_until.0, json!(orders))
+        }
+        HeartbeatAnswer::Redirect(label) => format!("421 {label}"),
+        HeartbeatAnswer::Unavailable => "503".to_owned(),
     }
 }
 
--- a/src/controller/tests/dependencies.rs
+++ b/src/controller/tests/dependencies.rs
@@ -73,14 +73,14 @@
 }
 
 #[test]
-fn a_take_over_and_an_end_of_all_start_nothing_early() {
+fn a_failover_and_an_end_of_all_start_nothing_early() {
     let mut w = started(3, 2);
     w.submit(&desc("j-1", 2));
     w.submit(&needing("j-2", &["j-1"]));
     w.submit(&needing("j-3", &["j-2"]));
     w.pass(3.0);
-    let holder = w.holder();
-    w.crash(holder);
+    let owner = w.owner();
+    w.crash(owner);
     w.pass(40.0);
     assert_eq!(w.all_running(), 2, "only the first one");
     w.finish_all();
@@ -146,11 +146,11 @@
         }
     }
     assert_eq!(w.ended("j-4"), None);
-    let holder = w.holder();
-    w.crash(holder);
+    let owner = w.owner();
+    w.crash(owner);
     w.hold_job_txns = false;
     w.pass(30.0);
-    w.start(holder);
+    w.start(owner);
     w.pass(5.0);
     assert_eq!(
         w.ended("j-4"),
@@ -254,10 +254,10 @@
     assert!(w.started_ever("j-2"));
 }
 
-/// While a machine of the take-over is silent, older jobs wait for it, since their tasks may
-/// run there. No earlier holder can have begun a job whose last dependency was done later.
+/// While a machine of the failover is silent, older jobs wait for it, since their tasks may
+/// run there. No earlier owner can have begun a job whose last dependency was done later.
 #[test]
-fn what_gets_ready_after_a_take_over_does_not_wait_for_its_silent_machines() {
+fn what_gets_ready_after_a_failover_does_not_wait_for_its_silent_machines() {
     // Silent machines count against the team's limit, too.
     let mut w = World::with(2, 3, |v| {
         v["settings"]["teams"][0]["cpus_max"] = 1_000.0.into();
@@ -273,10 +273,10 @@
     let first = w.running("j-1/0")[0];
     let silent = (0..3).find(|at| *at != first).expect("a machine");
     w.workers[silent].hung = true;
-    let holder = w.holder();
-    w.crash(holder);
+    let owner = w.owner();
+    w.crash(owner);
     w.pass(21.0);
-    assert_ne!(w.holder(), holder);
+    assert_ne!(w.owner(), owner);
     // Room for the fourth task of the older one, beside the silent machine.
     let older_here = |w: &World| w.workers[first].running("j-3/").count();
     assert_eq!(older_here(&w), 1);
--- a/src/controller/tests/fleet.rs
+++ b/src/controller/tests/fleet.rs
@@ -6,26 +6,22 @@
 use crate::jobs::tests::desc;
 
 #[test]
-fn a_holder_that_hears_neither_machines_nor_peers_hands_its_block_back() {
+fn a_owner_that_hears_neither_machines_nor_peers_hands_its_partition_back() {
     let mut w = started(3, 3);
-    let before = w.holder();
+    let before = w.owner();
     // The others reach the workers, but nobody reaches a peer.
     for n in &mut w.nodes {
         n.no_peers = true;
     }
     w.nodes[before].no_workers = true;
     w.pass(25.0);
-    assert_ne!(
-        w.holder(),
-        before,
-        "and it is not granted to the same again"
-    );
+    assert_ne!(w.owner(), before, "and it is not granted to the same again");
     w.submit(&desc("j-1", 4));
     w.pass(12.0);
     assert_eq!(w.all_running(), 4);
 }
 
-/// Nothing is decided from a silence that was the holder's own.
+/// Nothing is decided from a silence that was the owner's own.
 /// While work waits for machines that do not come up, they are paid for.
 #[test]
 fn machines_that_never_come_up_are_replaced_and_not_rented_twice_for_one_need() {
@@ -54,21 +50,21 @@
     let mut w = started(2, 4);
     w.submit(&desc("j-1", 4));
     w.pass(4.0);
-    let holder = w.holder();
-    w.nodes[holder].frozen = true;
+    let owner = w.owner();
+    w.nodes[owner].frozen = true;
     w.pass(14.0);
     w.submit(&desc("j-2", 4));
-    w.nodes[holder].frozen = false;
+    w.nodes[owner].frozen = false;
     // What waited is worked off: first of all the time that passed.
-    w.sync(holder);
-    w.feed(holder, Input::Tick);
-    w.feed(holder, Input::Tick);
+    w.sync(owner);
+    w.feed(owner, Input::Tick);
+    w.feed(owner, Input::Tick);
     assert!(!w.started_ever("j-2"), "no machine was heard since");
     assert!(w.returned.is_empty());
     // A machine that is quiet for a moment has its full time from then on.
     w.workers[0].due = w.now + secs(6.0);
     w.pass(8.0);
-    assert_eq!((w.holder(), w.returned.len()), (holder, 0));
+    assert_eq!((w.owner(), w.returned.len()), (owner, 0));
     assert_eq!(w.all_running(), 8, "and goes on with what ran");
 }
 
@@ -77,10 +73,10 @@
     let mut w = started(2, 2);
     w.submit(&desc("j-1", 2));
     w.pass(4.0);
-    let before = w.holder();
+    let before = w.owner();
     w.nodes[before].frozen = true;
     w.pass(45.0);
-    let after = w.holder();
+    let after = w.owner();
     assert_ne!(after, before);
     w.submit(&desc("j-2", 2));
     w.nodes[before].frozen = false;
@@ -93,7 +89,10 @@
             request_id: 1,
         },
     );
-    assert_eq!(answer, Some(super::super::messages::Answer::Unavailable));
+    assert_eq!(
+        answer,
+        Some(crate::api::ports::HeartbeatAnswer::Unavailable)
+    );
     let words = w.done_directs.len();
     w.feed(before, Input::Tick);
     assert_eq!(w.done_directs.len(), words, "nor does it speak to any");
@@ -101,7 +100,7 @@
     assert_eq!(w.all_running(), 4);
 }
 
-pub fn two_blocks(nodes: usize, machines: usize) -> World {
+pub fn two_partitions(nodes: usize, machines: usize) -> World {
     World::with(nodes, machines, |v| {
         for team in v["settings"]["teams"].as_array_mut().expect("teams") {
             team["cpus"] = 4_000.0.into();
@@ -111,14 +110,14 @@
 }
 
 #[test]
-fn after_an_end_of_all_one_member_alone_does_not_get_every_block() {
-    let mut w = two_blocks(3, 4);
+fn after_an_end_of_all_one_member_alone_does_not_get_every_partition() {
+    let mut w = two_partitions(3, 4);
     w.pass(8.0);
-    let holders = |w: &World| {
+    let owners = |w: &World| {
         let of = |b: u64| w.store.keys[&format!("r/blocks/{b}/holder")].1["holder"].clone();
         (of(0), of(1))
     };
-    let (a, b) = holders(&w);
+    let (a, b) = owners(&w);
     assert_ne!(a, b);
     for i in 0..3 {
         w.crash(i);
@@ -130,11 +129,11 @@
     w.start(1);
     w.start(2);
     w.pass(3.0);
-    let (a, b) = holders(&w);
+    let (a, b) = owners(&w);
     assert_ne!(a, b);
 }
 
-/// A minute is charged at least, but once: not again after each take-over.
+/// A minute is charged at least, but once: not again after each failover.
 #[test]
 fn under_a_roll_of_restarts_idle_machines_are_returned_all_the_same() {
     let mut w = started(2, 3);
@@ -152,7 +151,7 @@
 }
 
 #[test]
-fn after_a_take_over_a_job_waits_only_for_machines_that_it_can_be_on() {
+fn after_a_failover_a_job_waits_only_for_machines_that_it_can_be_on() {
     let mut w = World::with(2, 4, |v| {
         for team in v["settings"]["teams"].as_array_mut().expect("teams") {
             team["cpus_max"] = 64.0.into();
@@ -182,7 +181,7 @@
     assert_eq!(w.all_running(), 4, "until that worker's lease is over");
 }
 
-/// Enough room for many machines under one holder.
+/// Enough room for many machines under one owner.
 fn many(nodes: usize, machines: usize) -> World {
     let mut w = World::with(nodes, machines, |v| {
         v["settings"]["limits"]["cpu_share"] = 1.0.into();
@@ -196,7 +195,7 @@
 }
 
 #[test]
-fn a_hundred_machines_hang_while_the_holder_ends_and_all_come_back_at_once() {
+fn a_hundred_machines_hang_while_the_owner_ends_and_all_come_back_at_once() {
     let mut w = many(3, 300);
     w.submit(&desc("j-1", 1_200));
     w.pass(6.0);
@@ -206,10 +205,10 @@
     for m in w.workers.iter_mut().take(100) {
         m.cut = true;
     }
-    let before = w.holder();
+    let before = w.owner();
     w.crash(before);
     w.pass(24.0);
-    assert_ne!(w.holder(), before);
+    assert_ne!(w.owner(), before);
     w.submit(&desc("j-2", 100));
     w.pass(2.0);
     for m in w.workers.iter_mut().take(100) {
--- a/src/controller/tests/formats.rs
+++ b/src/controller/tests/formats.rs
@@ -6,12 +6,12 @@
 
 use super::world::{World, secs};
 use super::*;
+use crate::cloud::ScaleOutRecord;
 use crate::ids::{JobId, Label, LeaseId, Revision, Term};
 use crate::jobs::{EndedRecord, JobRecord, ProgressRecord, page_tasks};
 use crate::mesh::{self, Message};
 use crate::partitions::{
-    FormatLevel, LeaderRecord, MachinesRecord, MemberRecord, PartitionOwnerRecord, ScaleOutRecord,
-    TermRecord,
+    FormatLevel, LeaderRecord, MachinesRecord, MemberRecord, PartitionOwnerRecord, TermRecord,
 };
 use crate::store::{self, KeyValue};
 use crate::watch_cache::WatchCache;
@@ -85,7 +85,7 @@
     assert_eq!(cache.jobs[&id].1.desc.dependencies, Vec::<JobId>::new());
     let pages: Vec<u32> = cache.progress(&id).map(|(n, ..)| n).collect();
     assert_eq!(pages, vec![2]);
-    assert_eq!(cache.rentals.len() + cache.sums.len(), 2);
+    assert_eq!(cache.scale_outs.len() + cache.team_usage.len(), 2);
 }
 
 /// The length of a page of progress is not stored: with another one, pages that the other
--- a/src/controller/tests/loopback/mod.rs
+++ b/src/controller/tests/loopback/mod.rs
@@ -3,7 +3,7 @@
 mod stand_ins;
 
 use crate::clock::Micros;
-use crate::controller::http::{HttpRequest, Pool};
+use crate::http_client::{HttpRequest, Pool};
 use crate::jobs::tests::{body as job_body, types};
 use crate::policy::Policy;
 use crate::settings::Settings;
@@ -149,7 +149,7 @@
     test.submit("j-2", "high", 8).await;
     test.wait("all of it runs", |site| site.running() == 16)
         .await;
-    // A machine that was never heard under the holder's token is no evidence of its zone.
+    // A machine that was never heard under the owner's token is no evidence of its zone.
     test.wait("each worker has its token, and has shown it", |site| {
         site.workers
             .iter()
--- a/src/controller/tests/loopback/stand_ins.rs
+++ b/src/controller/tests/loopback/stand_ins.rs
@@ -2,8 +2,8 @@
 
 use super::super::world::{FakeStore, FakeWorker};
 use crate::clock::Micros;
-use crate::controller::http::{HttpRequest, Pool};
-use crate::fleet::MachineType;
+use crate::cloud::MachineType;
+use crate::http_client::{HttpRequest, Pool};
 use crate::ids::{FencingToken, LeaseId, Revision};
 use crate::store::{self, Compare, KeyValue, Mutation, Reply, WatchEvent};
 use crate::workers::WorkerCommand;
--- a/src/controller/tests/meetings.rs
+++ b/src/controller/tests/meetings.rs
@@ -1,10 +1,11 @@
 //! Two troubles that meet, as the operators have seen them break rules. The steady
 //! checks of the world go on in all of them.
 
-use super::fleet::two_blocks;
+use super::fleet::two_partitions;
 use super::started;
 use super::world::{Node, World, secs};
-use crate::controller::messages::{Answer, Input};
+use crate::api::ports::HeartbeatAnswer;
+use crate::controller::messages::Input;
 use crate::ids::{MachineId, Revision};
 use crate::jobs::JobState;
 use crate::jobs::tests::desc;
@@ -13,7 +14,7 @@
 use crate::store::Mutation;
 use std::collections::BTreeMap;
 
-/// The store refuses the holder alone, another node confirms cancellations, and then
+/// The store refuses the owner alone, another node confirms cancellations, and then
 /// the store is out for all, for longer than `cancel_s`, while workers report on.
 fn gap(hang_s: f64) {
     let mut w = started(3, 3);
@@ -22,8 +23,8 @@
     blue.team = "blue".into();
     w.submit(&blue);
     w.pass(4.0);
-    let holder = w.holder();
-    w.nodes[holder].refused = true;
+    let owner = w.owner();
+    w.nodes[owner].refused = true;
     w.pass(1.2);
     w.cancel("j-1");
     for m in &mut w.workers {
@@ -32,7 +33,7 @@
     w.pass(0.8);
     w.store.down = true;
     w.pass(12.0);
-    w.nodes[holder].refused = false;
+    w.nodes[owner].refused = false;
     w.pass((hang_s - 12.8).max(0.0));
     for m in &mut w.workers {
         m.hung = false;
@@ -40,7 +41,7 @@
     let cancel_s = w.cancel_s();
     w.pass(cancel_s + 10.0 - hang_s);
     assert_eq!(w.all_running(), 0);
-    assert_eq!(w.holder(), holder, "its lease has its full time again");
+    assert_eq!(w.owner(), owner, "its lease has its full time again");
     w.store.down = false;
     w.pass(8.0);
     assert!(!w.workers.iter().any(|m| m.running("j-1/").next().is_some()));
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn cancelled_in_a_refusal_of_the_holder_before_an_outage_of_all() {
+fn cancelled_in_a_refusal_of_the_owner_before_an_outage_of_all() {
     gap(0.0);
 }
 
@@ -59,21 +60,21 @@
 }
 
 #[test]
-fn a_cancellation_reaches_a_holder_without_the_store_over_the_mesh() {
+fn a_cancellation_reaches_a_owner_without_the_store_over_the_mesh() {
     let mut w = started(3, 2);
     w.submit(&desc("j-1", 4));
     w.pass(3.0);
-    let holder = w.holder();
-    w.nodes[holder].refused = true;
+    let owner = w.owner();
+    w.nodes[owner].refused = true;
     w.cancel("j-1");
     let (job, revision) = ("j-1".into(), Revision(w.store.revision));
-    w.feed((holder + 1) % 3, Input::Cancelled { job, revision });
+    w.feed((owner + 1) % 3, Input::Cancelled { job, revision });
     w.pass(4.0);
     assert_eq!(w.all_running(), 0);
     // A job that comes to it after the word of its end: its reading lags behind.
-    w.nodes[holder].refused = false;
+    w.nodes[owner].refused = false;
     let (job, revision) = ("j-2".into(), Revision(w.store.revision + 100));
-    w.feed(holder, Input::Mesh(Message::Cancelled { job, revision }));
+    w.feed(owner, Input::Mesh(Message::Cancelled { job, revision }));
     w.submit(&desc("j-2", 1));
     w.submit(&desc("j-3", 1));
     w.pass(4.0);
@@ -81,13 +82,13 @@
     assert!(w.started_ever("j-3"));
     // An old word is none: the reading has come further.
     let (job, revision) = ("j-3".into(), Revision(1));
-    w.feed(holder, Input::Mesh(Message::Cancelled { job, revision }));
+    w.feed(owner, Input::Mesh(Message::Cancelled { job, revision }));
     w.pass(4.0);
     assert_eq!(w.running("j-3/0").len(), 1);
 }
 
 /// The log of changes was too short for a watch that stood still: the store is read
-/// from the start, by the same holder under the same term.
+/// from the start, by the same owner under the same term.
 #[test]
 fn a_reading_from_the_start_keeps_what_is_held() {
     let mut w = started(1, 2);
@@ -118,7 +119,7 @@
     for copy in &copies {
         assert_eq!(
             w.late_copy(0, copy),
-            Some(Answer::Unavailable),
+            Some(HeartbeatAnswer::Unavailable),
             "older than known"
         );
     }
@@ -140,22 +141,22 @@
     );
 }
 
-/// A hand-back without an answer, and a watch that hangs: another holds the block, and
+/// A hand-back without an answer, and a watch that hangs: another holds the partition, and
 /// counts silent workers' leases from its grant.
 #[test]
-fn who_hands_a_block_back_answers_no_worker_from_then_on() {
+fn who_hands_a_partition_back_answers_no_worker_from_then_on() {
     let mut w = started(3, 2);
     w.submit(&desc("j-1", 8));
     w.pass(3.0);
-    let before = w.holder();
+    let before = w.owner();
     w.nodes[before].no_workers = true;
     w.nodes[before].unanswered = true;
-    // It hears nobody, so it hands the block back; the write is carried out.
-    let holder = |w: &World| w.store.keys["r/blocks/0/holder"].1["holder"].clone();
-    let was = holder(&w);
+    // It hears nobody, so it hands the partition back; the write is carried out.
+    let owner = |w: &World| w.store.keys["r/blocks/0/holder"].1["holder"].clone();
+    let was = owner(&w);
     for _ in 0..300 {
         w.pass(0.1);
-        if w.store.keys["r/blocks/0/holder"].1["incarnation"] == 0 || holder(&w) != was {
+        if w.store.keys["r/blocks/0/holder"].1["incarnation"] == 0 || owner(&w) != was {
             break;
         }
     }
@@ -169,9 +170,12 @@
             request_id: 1,
         },
     );
-    assert!(!matches!(answer, Some(Answer::Accepted(_))), "{answer:?}");
+    assert!(
+        !matches!(answer, Some(HeartbeatAnswer::Accepted(_))),
+        "{answer:?}"
+    );
     w.pass(60.0);
-    assert_ne!(w.holder(), before);
+    assert_ne!(w.owner(), before);
     assert_eq!(w.all_running(), 8);
 }
 
@@ -180,22 +184,25 @@
     let mut w = started(3, 2);
     w.submit(&desc("j-1", 4));
     w.pass(3.0);
-    let holder = w.holder();
-    w.nodes[holder].no_workers = true;
+    let owner = w.owner();
+    w.nodes[owner].no_workers = true;
     w.pass(5.0);
-    w.nodes[holder].refused = true;
+    w.nodes[owner].refused = true;
     w.pass(6.0);
-    w.nodes[holder].no_workers = false;
+    w.nodes[owner].no_workers = false;
     w.pass(2.0);
     let report = w.workers[0].report();
     let answer = w.feed(
-        holder,
+        owner,
         Input::Heartbeat {
             heartbeat: report,
             request_id: 1,
         },
     );
-    assert!(matches!(answer, Some(Answer::Accepted(_))), "{answer:?}");
+    assert!(
+        matches!(answer, Some(HeartbeatAnswer::Accepted(_))),
+        "{answer:?}"
+    );
 }
 
 /// Where the store has each machine.
@@ -215,11 +222,11 @@
     at
 }
 
-/// The leader puts machines into one block without an answer, then into another, and
+/// The leader puts machines into one partition without an answer, then into another, and
 /// then the first write is carried out.
 #[test]
-fn a_late_write_of_machines_puts_none_into_two_blocks() {
-    let mut w = two_blocks(2, 2);
+fn a_late_write_of_machines_puts_none_into_two_partitions() {
+    let mut w = two_partitions(2, 2);
     w.pass(8.0);
     let rec = &w.store.keys["r/leader"].1["holder"];
     let leads = |n: &Node| *rec == *n.settings.label.as_str();
@@ -240,7 +247,7 @@
         .find(|(_, mutations)| is_ours(mutations))
         .cloned();
     let first = first.expect("the write");
-    // Work comes, of the other block's team: it lacks room, so all new ones go there.
+    // Work comes, of the other partition's team: it lacks room, so all new ones go there.
     let to_first = format!("{first:?}").contains("r/blocks/0/machines");
     let mut d = desc("j-1", 40);
     d.team = ["red", "blue"][usize::from(to_first)].into();
@@ -272,7 +279,7 @@
     let at = w.running("j-1/0")[0];
     assert_eq!(w.all_running(), 8, "all that the team may use");
     w.cloud_down = true;
-    let before = w.holder();
+    let before = w.owner();
     w.crash(before);
     w.cancel("j-1");
     // It hears the new token, and nothing after that.
@@ -305,7 +312,7 @@
     w.pass(3.0);
     let at = w.running("j-1/0")[0];
     w.cloud_down = true;
-    let before = w.holder();
+    let before = w.owner();
     w.crash(before);
     w.cancel("j-1");
     let ended = w.store.keys.get_mut("ended/j-1").expect("a record");
@@ -392,9 +399,9 @@
     }
     w.pass(4.0);
     // From the sessions before: they show what is over.
-    let holder = w.holder();
+    let owner = w.owner();
     for copy in &copies {
-        assert_eq!(w.late_copy(holder, copy), Some(Answer::Unavailable));
+        assert_eq!(w.late_copy(owner, copy), Some(HeartbeatAnswer::Unavailable));
     }
     w.pass(8.0);
     assert_eq!(w.all_running(), 8);
@@ -430,7 +437,7 @@
 fn leaders_change_ten_times_in_two_minutes_also_inside_an_outage() {
     let mut w = started(3, 3);
     w.task_time = Some(secs(9.0));
-    // By term: who was granted the block under it.
+    // By term: who was granted the partition under it.
     let mut grants = std::collections::BTreeMap::new();
     for round in 0..10 {
         let grant = w.store.keys["r/blocks/0/holder"].1.clone();
@@ -480,7 +487,7 @@
     w.pass(3.0);
     let zone = w.workers[w.running("j-1/0")[0]].zone;
     w.cloud_down = true;
-    let before = w.holder();
+    let before = w.owner();
     w.nodes[before].no_store = true;
     w.nodes[before].no_peers = true;
     for m in w.workers.iter_mut().filter(|m| m.zone == zone) {
@@ -489,7 +496,7 @@
     w.copying = true;
     w.pass(50.0);
     // All of it is elsewhere now, and in one zone.
-    assert_ne!(w.holder(), before);
+    assert_ne!(w.owner(), before);
     assert_eq!(w.all_running(), 4);
     for m in &mut w.workers {
         m.cut = false;
@@ -497,9 +504,9 @@
     w.nodes[before].no_store = false;
     w.nodes[before].no_peers = false;
     w.copying = false;
-    let holder = w.holder();
+    let owner = w.owner();
     for copy in std::mem::take(&mut w.copies) {
-        w.late_copy(holder, &copy);
+        w.late_copy(owner, &copy);
     }
     w.pass(10.0);
     assert_eq!(w.all_running(), 4);
@@ -512,8 +519,8 @@
     w.pass(3.0);
     w.finish("j-1/0");
     w.pass(4.0);
-    // The second ends while the holder's writes get no answer, and it ends itself.
-    let before = w.holder();
+    // The second ends while the owner's writes get no answer, and it ends itself.
+    let before = w.owner();
     w.nodes[before].late = true;
     w.finish("j-1/1");
     w.pass(3.0);
@@ -542,7 +549,7 @@
     for at in w.running("j-1/0") {
         w.workers[at].cut = true;
     }
-    let before = w.holder();
+    let before = w.owner();
     w.crash(before);
     w.pass(21.0);
     w.cancel("j-1");
@@ -562,11 +569,11 @@
     let mut w = started(2, 2);
     w.submit(&desc("j-1", 4));
     w.pass(3.0);
-    let holder = w.holder();
-    w.nodes[holder].late = true;
+    let owner = w.owner();
+    w.nodes[owner].late = true;
     w.finish("j-1/0");
     w.pass(3.0);
-    w.nodes[holder].late = false;
+    w.nodes[owner].late = false;
     let late = std::mem::take(&mut w.held_txns);
     assert!(!late.is_empty());
     w.finish("j-1/1");
@@ -578,10 +585,10 @@
     }
     assert_eq!(done(&w), both);
     // Nor does one of a job that has ended meanwhile bring anything back.
-    w.nodes[holder].late = true;
+    w.nodes[owner].late = true;
     w.finish("j-1/2");
     w.pass(3.0);
-    w.nodes[holder].late = false;
+    w.nodes[owner].late = false;
     let late = std::mem::take(&mut w.held_txns);
     w.cancel("j-1");
     w.pass(20.0);
--- a/src/controller/tests/mod.rs
+++ b/src/controller/tests/mod.rs
@@ -13,8 +13,9 @@
 mod world;
 mod zones;
 
-use super::messages::{Answer, Input};
-use crate::fleet::MachineType;
+use super::messages::Input;
+use crate::api::ports::HeartbeatAnswer;
+use crate::cloud::MachineType;
 use crate::ids::{AttemptId, MachineId};
 use crate::jobs::JobState;
 use crate::jobs::tests::{desc, types};
@@ -69,15 +70,15 @@
 }
 
 #[test]
-fn a_take_over_adopts_what_runs_and_starts_nothing_twice() {
+fn a_failover_adopts_what_runs_and_starts_nothing_twice() {
     let mut w = started(2, 2);
     w.submit(&desc("j-1", 4));
     w.pass(3.0);
     assert_eq!(w.all_running(), 4);
-    let before = w.holder();
+    let before = w.owner();
     w.crash(before);
     w.pass(40.0);
-    assert_ne!(w.holder(), before);
+    assert_ne!(w.owner(), before);
     for i in 0..4 {
         assert_eq!(w.running(&format!("j-1/{i}")).len(), 1);
     }
@@ -87,18 +88,18 @@
 }
 
 #[test]
-fn after_a_take_over_old_jobs_wait_for_silent_machines() {
+fn after_a_failover_old_jobs_wait_for_silent_machines() {
     let mut w = started(2, 2);
     w.submit(&desc("j-1", 4));
     w.pass(3.0);
     let with = w.running("j-1/0")[0];
     w.workers[with].cut = true;
     w.cloud_down = true;
-    let before = w.holder();
+    let before = w.owner();
     w.crash(before);
-    // The old holder's lease is over, but not yet the worker's.
+    // The old owner's lease is over, but not yet the worker's.
     w.pass(25.0);
-    assert_ne!(w.holder(), before);
+    assert_ne!(w.owner(), before);
     w.submit(&desc("j-2", 1));
     w.pass(3.0);
     assert_eq!(
@@ -130,7 +131,7 @@
         w.workers[at].cut = true;
     }
     w.cloud_down = true;
-    let before = w.holder();
+    let before = w.owner();
     w.crash(before);
     w.pass(25.0);
     w.submit(&desc("j-2", 8));
@@ -190,9 +191,9 @@
     let mut w = started(2, 1);
     w.submit(&desc("j-1", 1));
     w.pass(3.0);
-    let holder = w.holder();
-    // The holder still reaches its worker, but not the store.
-    w.nodes[holder].no_store = true;
+    let owner = w.owner();
+    // The owner still reaches its worker, but not the store.
+    w.nodes[owner].no_store = true;
     w.cancel("j-1");
     let cancel_s = w.nodes[0].settings.platform.workers.cancel_s;
     w.pass(cancel_s - 1.0);
@@ -200,7 +201,7 @@
 }
 
 #[test]
-fn outside_its_lease_a_holder_answers_no_worker_and_starts_nothing() {
+fn outside_its_lease_a_owner_answers_no_worker_and_starts_nothing() {
     let mut w = started(1, 1);
     w.store.down = true;
     w.pass(10.0);
@@ -215,7 +216,7 @@
         )
     };
     assert!(
-        matches!(answer, Some(Answer::Accepted(_))),
+        matches!(answer, Some(HeartbeatAnswer::Accepted(_))),
         "an outage shorter than the lease"
     );
     w.pass(15.0);
@@ -228,7 +229,7 @@
                 request_id: 1
             }
         ),
-        Some(Answer::Unavailable)
+        Some(HeartbeatAnswer::Unavailable)
     );
     // The store is back; it goes on under a lease, old or new.
     w.store.down = false;
@@ -261,10 +262,10 @@
 }
 
 #[test]
-fn machines_are_answered_by_their_holder_only() {
+fn machines_are_answered_by_their_owner_only() {
     let mut w = started(2, 1);
-    let other = 1 - w.holder();
-    let label = w.nodes[w.holder()].settings.label.clone();
+    let other = 1 - w.owner();
+    let label = w.nodes[w.owner()].settings.label.clone();
     let r = w.workers[0].report();
     assert_eq!(
         w.feed(
@@ -274,9 +275,9 @@
                 request_id: 1
             }
         ),
-        Some(Answer::Redirect(label))
+        Some(HeartbeatAnswer::Redirect(label))
     );
-    // A machine that no block has is answered by nobody.
+    // A machine that no partition has is answered by nobody.
     let mut r = w.workers[0].report();
     r.machine = MachineId::from("m-999999");
     assert_eq!(
@@ -287,7 +288,7 @@
                 request_id: 1
             }
         ),
-        Some(Answer::Unavailable)
+        Some(HeartbeatAnswer::Unavailable)
     );
 }
 
@@ -452,12 +453,12 @@
 }
 
 #[test]
-fn attempts_never_repeat_over_a_take_over() {
+fn attempts_never_repeat_over_a_failover() {
     let mut w = started(2, 1);
     w.submit(&desc("j-1", 1));
     w.pass(3.0);
     let first = w.workers[0].tasks["j-1/0"].0;
-    w.crash(w.holder());
+    w.crash(w.owner());
     w.pass(25.0);
     w.finish_all();
     w.submit(&desc("j-2", 1));
--- a/src/controller/tests/pairs.rs
+++ b/src/controller/tests/pairs.rs
@@ -140,7 +140,7 @@
     }
 
     fn draw(&mut self, trouble: Trouble, from: Micros) -> Plan {
-        let of_holder = self.rng.random_bool(0.6);
+        let of_owner = self.rng.random_bool(0.6);
         let any = self.rng.random_range(0..NODES);
         let machines = (0..self.w.workers.len()).filter(|_| self.rng.random_bool(0.4));
         let machines = machines.collect();
@@ -149,7 +149,7 @@
         let long = long.choose(&mut self.rng).copied().unwrap_or(1.0);
         Plan {
             trouble,
-            node: if of_holder { self.w.holder() } else { any },
+            node: if of_owner { self.w.owner() } else { any },
             machines,
             from,
             until: from + secs(long),
--- a/src/controller/tests/size.rs
+++ b/src/controller/tests/size.rs
@@ -8,7 +8,7 @@
 /// Five controllers, and limits that two thousand machines of 16 cores need.
 fn large(nodes: usize, machines: usize) -> World {
     World::with(nodes, machines, |v: &mut Value| {
-        // One holder with a core of its own for all of them.
+        // One owner with a core of its own for all of them.
         v["settings"]["limits"]["cpu_share"] = 1.0.into();
         for team in v["settings"]["teams"].as_array_mut().expect("teams") {
             team["cpus"] = 15_000.0.into();
@@ -62,7 +62,7 @@
     assert!(spent < 200, "{spent} changes for the end of one job");
 }
 
-/// Seen at a holder whose machines each reported dozens of ended tasks: while tasks of
+/// Seen at an owner whose machines each reported dozens of ended tasks: while tasks of
 /// more pages than one write takes went on ending, none of them was reaped, until the
 /// reports were too long to be read in time and 495 healthy machines were returned.
 #[test]
@@ -117,7 +117,7 @@
     assert!(spent <= least + least / 2, "{spent} for {jobs} jobs");
 }
 
-/// Seen at a holder that spent most of its processor time on it: work of the lowest rank
+/// Seen at an owner that spent most of its processor time on it: work of the lowest rank
 /// and no guarantee can stop nothing, and so needs no walk over the machines.
 #[test]
 fn what_may_stop_nothing_costs_no_walk_over_the_machines() {
--- a/src/controller/tests/state_limits.rs
+++ b/src/controller/tests/state_limits.rs
@@ -68,8 +68,8 @@
         w.finish(&format!("j-1/{i}"));
     }
     w.pass(20.0);
-    let holder = w.holder();
-    w.crash(holder);
+    let owner = w.owner();
+    w.crash(owner);
     w.pass(60.0);
     assert_eq!(w.all_running(), 300, "what was done does not run again");
     w.finish_all();
@@ -78,7 +78,7 @@
 }
 
 /// With 60 machines in one shard of some 4 KB, of which nothing could be changed any more.
-/// All are in use already, so their holder has nothing to write there: the leader does it.
+/// All are in use already, so their owner has nothing to write there: the leader does it.
 #[test]
 fn a_shard_from_before_is_split_in_time() {
     let mut w = World::with(2, 60, announce);
@@ -124,9 +124,9 @@
     w.store
         .commit(vec![store::put(keys::progress_page(&id, 0), &page)]);
     fall(&mut w);
-    // The next holder learns it from the record.
-    let holder = w.holder();
-    w.crash(holder);
+    // The next owner learns it from the record.
+    let owner = w.owner();
+    w.crash(owner);
     w.pass(60.0);
     assert_eq!(w.all_running(), 400);
     for i in 0..10 {
@@ -142,9 +142,9 @@
         .collect();
     assert!(parts.len() > 1);
     assert!(parts.iter().all(|v| v.to_string().len() <= VALUE_BYTES));
-    w.start(holder);
-    let holder = w.holder();
-    w.crash(holder);
+    w.start(owner);
+    let owner = w.owner();
+    w.crash(owner);
     w.pass(60.0);
     assert_eq!(w.all_running(), 390, "none of those that were done");
     w.finish_all();
--- a/src/controller/tests/world.rs
+++ b/src/controller/tests/world.rs
@@ -1,11 +1,12 @@
 //! A scripted store, cloud and workers around the cores, under a fake clock.
 
 use super::super::core::Core;
-use super::super::messages::{Answer, ApiView, DirectAnswer, Effect, Input, StoreOperation};
+use super::super::messages::{DirectAnswer, Effect, Input, StoreOperation};
 use super::characterization::WireRecorder;
+use crate::api::ports::{ApiView, HeartbeatAnswer};
 use crate::api::read_index::JobLookup;
 use crate::clock::Micros;
-use crate::fleet::{CloudMachine, CloudReply, CloudRequest, InstanceState, MachineType};
+use crate::cloud::{CloudMachine, CloudReply, CloudRequest, InstanceState, MachineType};
 use crate::ids::{FencingToken, JobId, Label, LeaseId, MachineId, PartitionId, Revision, TaskId};
 use crate::jobs::tests::types;
 use crate::jobs::{EndedRecord, JobDesc, JobRecord, JobState};
@@ -468,7 +469,7 @@
         self.nodes[i].core = None;
     }
 
-    pub fn feed(&mut self, i: usize, input: Input) -> Option<Answer> {
+    pub fn feed(&mut self, i: usize, input: Input) -> Option<HeartbeatAnswer> {
         let now = self.now;
         let mut inputs = vec![input];
         let mut told = None;
@@ -492,7 +493,7 @@
                     }
                     Effect::AnswerHeartbeat { answer, .. } => told = Some(answer),
                     Effect::SendDirectCommand {
-                        partition: block,
+                        partition,
                         term,
                         machine,
                         command: direct,
@@ -504,7 +505,7 @@
                             self.direct(&machine, direct)
                         };
                         inputs.push(Input::DirectCommandReply {
-                            partition: block,
+                            partition,
                             term,
                             machine,
                             answer,
@@ -845,7 +846,7 @@
     }
 
     /// A copy of a report reaches a node late: nobody reads the answer.
-    pub fn late_copy(&mut self, node: usize, report: &Heartbeat) -> Option<Answer> {
+    pub fn late_copy(&mut self, node: usize, report: &Heartbeat) -> Option<HeartbeatAnswer> {
         let report = report.clone();
         self.feed(
             node,
@@ -964,7 +965,7 @@
                     request_id: 1,
                 },
             ) {
-                Some(Answer::Accepted(o)) => {
+                Some(HeartbeatAnswer::Accepted(o)) => {
                     let w = &mut self.workers[at];
                     if o.fencing_token > w.fencing_token || !o.commands.is_empty() {
                         // A change is reported soon.
@@ -987,16 +988,16 @@
         self.submit_to(desc, 0);
     }
 
-    /// To the block that its team is in.
-    pub fn submit_to(&mut self, desc: &JobDesc, block: u64) {
+    /// To the partition that its team is in.
+    pub fn submit_to(&mut self, desc: &JobDesc, partition: u64) {
         self.submitted.insert(desc.id.clone(), desc.clone());
-        let key = keys::partition_owner(PartitionId(block));
-        let holder = self
+        let key = keys::partition_owner(PartitionId(partition));
+        let owner = self
             .store
             .keys
             .get(&key)
             .map_or((0, Value::Null), |v| (v.0, v.1.clone()));
-        let born = serde_json::from_value(holder.1["term"].clone()).unwrap_or_default();
+        let born = serde_json::from_value(owner.1["term"].clone()).unwrap_or_default();
         let rec = JobRecord {
             desc: desc.clone(),
             accepted_at: self.now,
@@ -1004,7 +1005,7 @@
         };
         let compares = [
             compare(keys::job(&desc.id), Revision(0)),
-            compare(key, Revision(holder.0)),
+            compare(key, Revision(owner.0)),
         ];
         let reply = self
             .store
@@ -1081,7 +1082,7 @@
         }
     }
 
-    pub fn holder(&self) -> usize {
+    pub fn owner(&self) -> usize {
         let rec = &self.store.keys["r/blocks/0/holder"].1;
         let label: Label = serde_json::from_value(rec["holder"].clone()).expect("a holder");
         self.nodes
--- a/src/controller/tests/zones.rs
+++ b/src/controller/tests/zones.rs
@@ -270,10 +270,10 @@
 #[test]
 fn an_observer_behind_a_cut_says_nothing() {
     let mut w = zones(4, ON);
-    let holder = w.holder();
+    let owner = w.owner();
     // It hears the machines of one zone only, and neither store nor peers.
-    w.nodes[holder].no_store = true;
-    w.nodes[holder].no_peers = true;
+    w.nodes[owner].no_store = true;
+    w.nodes[owner].no_peers = true;
     for zone in ["y", "z"] {
         cut(&mut w, zone, true);
     }
@@ -332,7 +332,7 @@
     finish(&mut w, &ids);
 }
 
-/// Also where the holder ends with the cut, and its successor knows nothing of the machines.
+/// Also where the owner ends with the cut, and its successor knows nothing of the machines.
 #[test]
 fn each_wave_rents_for_so_many_displaced_tasks_only() {
     let file = format!("{ON}[zone-failover.waves]\ntasks = 2\ninterval = \"30s\"\n");
@@ -349,8 +349,8 @@
         let rented = |w: &World| -> u32 { w.rentals[before..].iter().map(|r| r.1).sum() };
         cut(&mut w, "x", true);
         if crash {
-            let holder = w.holder();
-            w.crash(holder);
+            let owner = w.owner();
+            w.crash(owner);
         }
         for _ in 0..800 {
             w.pass(0.1);
@@ -670,8 +670,8 @@
     cut(&mut w, "x", true);
     pass_until(&mut w, 30.0, |w| state(w, "x") == "lost");
     let leads = leader(&w);
-    let holder = w.holder();
-    for i in (0..3).filter(|i| *i != holder) {
+    let owner = w.owner();
+    for i in (0..3).filter(|i| *i != owner) {
         w.nodes[i].subsystems = Subsystems::default();
         w.crash(i);
         w.start(i);
--- a/src/fairness/mod.rs
+++ b/src/fairness/mod.rs
@@ -136,7 +136,7 @@
     pub summed: Resources,
     /// What each team's attempts request.
     pub teams: Vec<(usize, Resources)>,
-    /// Unreported since a take-over, or with attempts of jobs that are not known: it
+    /// Unreported since a failover, or with attempts of jobs that are not known: it
     /// may hold anything, of any team.
     pub unknown: bool,
 }
@@ -161,7 +161,7 @@
     pub endowed: Resources,
 }
 
-/// The sums of a block's teams, kept up to date machine by machine, so that no
+/// The sums of a partition's teams, kept up to date machine by machine, so that no
 /// decision walks over the fleet to weigh a team.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct UsageByTeam {
@@ -188,7 +188,7 @@
 
     fn adjust(&mut self, load: &Load, capacity: Resources, sign: f64) {
         if load.unknown {
-            // After a take-over, what is on a silent machine counts as the worst
+            // After a failover, what is on a silent machine counts as the worst
             // case for each team, or its limit and its heaviness would be off.
             let part = sign / self.teams.len().max(1) as f64;
             for team in self.teams.values_mut() {
--- a/src/jobs/dependencies.rs
+++ b/src/jobs/dependencies.rs
@@ -1,6 +1,6 @@
 //! Which jobs have to be done before which, and how that stands.
 //!
-//! Every controller keeps the graph of the jobs that are not over, from its mirror of the
+//! Every controller keeps the graph of the jobs that are not over, from its cache of the
 //! store. How a job ended is known from its stored record only: that its live record is
 //! gone says nothing, since it goes for done and for cancelled jobs alike. An end that is
 //! not known counts as not done.
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Jobs that are not over, as the mirror of the store has them.
+/// Jobs that are not over, as the cache of the store has them.
 pub type LiveJobs = BTreeMap<JobId, (Revision, Rc<JobRecord>)>;
 
 /// How a job ended that others name.
@@ -93,7 +93,7 @@
     Out,
 }
 
-/// Reads of ends that are out at once: after a take-over there may be many.
+/// Reads of ends that are out at once: after a failover there may be many.
 const MOST_READS: usize = 8;
 /// After a read that told nothing.
 const READ_AGAIN: Micros = Micros::from_millis(500);
--- a/src/jobs/description.rs
+++ b/src/jobs/description.rs
@@ -1,8 +1,8 @@
 //! What users ask for: a job's description, and why one is refused.
 
 use super::Footprint;
+use crate::cloud::MachineType;
 use crate::fairness::Resources;
-use crate::fleet::MachineType;
 use crate::ids::JobId;
 use crate::settings::Settings;
 use serde::de::Error;
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -51,7 +51,7 @@
     behind_cancelled: bool,
     /// What it has from the jobs that need it.
     inherited: Option<Inherited>,
-    /// The term of its team's block then.
+    /// The term of its team's partition then.
     pub accepted_term: Term,
     /// Of its record, which never changes while the job lives.
     pub revision: Revision,
@@ -172,9 +172,9 @@
         self.ready && !self.behind_cancelled
     }
 
-    /// Whether a holder whose successor was granted the block at `term` and `granted` can
+    /// Whether an owner whose successor was granted the partition at `term` and `granted` can
     /// have started it: not if it was accepted after that, nor if the jobs before it were
-    /// done only then, since that holder's lease was over.
+    /// done only then, since that owner's lease was over.
     pub fn may_have_begun_before(&self, term: Term, granted: Revision) -> bool {
         self.accepted_term < term && self.ready_revision <= granted
     }
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -16,7 +16,7 @@
     /// Time of day at which it was accepted.
     #[serde(rename = "at")]
     pub accepted_at: Micros,
-    /// The term of its team's block then: no earlier holder can have run it.
+    /// The term of its team's partition then: no earlier owner can have run it.
     #[serde(rename = "born")]
     pub accepted_term: Term,
 }
@@ -64,7 +64,7 @@
     pub state: JobState,
     /// How many tasks it had.
     pub tasks: u32,
-    /// For a later holder that finds an attempt of it still on a machine. Records of
+    /// For a later owner that finds an attempt of it still on a machine. Records of
     /// earlier versions lack it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub footprint: Option<Footprint>,
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::fleet::MachineType;
+use crate::cloud::MachineType;
 use crate::ids::Label;
 use crate::settings::tests::settings;
 
@@ -304,7 +304,7 @@
     };
     assert!(job.set_readiness(&Readiness::Ready(done)));
     assert!(!job.set_readiness(&Readiness::Ready(done)), "no news");
-    // A holder before the grant at revision 69 can't have begun it.
+    // An owner before the grant at revision 69 can't have begun it.
     assert!(job.may_have_begun_before(Term(2), Revision(70)));
     assert!(!job.may_have_begun_before(Term(2), Revision(69)));
     assert!(!job.may_have_begun_before(Term(1), Revision(70)));
--- a/src/partitions/leader.rs
+++ b/src/leader/mod.rs
@@ -1,24 +1,29 @@
-//! The leader's grants: a block without a living holder goes whole to one
+//! The leader's grants: a partition without a living owner goes whole to one
 //! member, under a new term.
 
-use super::{PartitionOwnerRecord, TermRecord};
 use crate::clock::Micros;
 use crate::ids::{Label, PartitionId, Revision, Term};
+use crate::partitions::{PartitionOwnerRecord, TermRecord};
 use crate::settings::Settings;
 use crate::store::{self, Compare, Mutation, compare, keys};
 use crate::watch_cache::WatchCache;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// The block that a team belongs to, by the records or, before there are any,
+/// The partition that a team belongs to, by the records or, before there are any,
 /// by its place in the settings.
-pub fn block_of(cache: &WatchCache, settings: &Settings, blocks: u64, team: usize) -> PartitionId {
+pub fn block_of(
+    cache: &WatchCache,
+    settings: &Settings,
+    partitions: u64,
+    team: usize,
+) -> PartitionId {
     let name = &settings.platform.teams[team].name;
     let recorded = cache
-        .holders
+        .partition_owners
         .iter()
         .find(|(_, (_, h))| h.teams.contains(name));
-    recorded.map_or(PartitionId(team as u64 % blocks), |(b, _)| *b)
+    recorded.map_or(PartitionId(team as u64 % partitions), |(b, _)| *b)
 }
 
 /// A change of the store that only the leader may make.
@@ -48,22 +53,25 @@
     )
 }
 
-/// Grants every block that nobody alive holds, in one transaction.
+/// Grants every partition that nobody alive holds, in one transaction.
 pub fn grants(
     cache: &WatchCache,
     leader: Compare,
     settings: &Settings,
-    blocks: u64,
+    partitions: u64,
     fit: &dyn Fn(&Label) -> bool,
 ) -> Option<(Vec<Compare>, Vec<Mutation>)> {
     let mut load: BTreeMap<&Label, usize> = cache.members.keys().map(|l| (l, 0)).collect();
     let mut open = Vec::new();
-    for b in (0..blocks)
-        .map(PartitionId)
-        .chain(cache.holders.keys().copied().filter(|b| b.0 >= blocks))
-    {
-        match cache.holders.get(&b) {
-            Some((_, rec)) if cache.holder_alive(rec) => {
+    for b in (0..partitions).map(PartitionId).chain(
+        cache
+            .partition_owners
+            .keys()
+            .copied()
+            .filter(|b| b.0 >= partitions),
+    ) {
+        match cache.partition_owners.get(&b) {
+            Some((_, rec)) if cache.is_owner_alive(rec) => {
                 if let Some(n) = load.get_mut(&rec.owner) {
                     *n += 1;
                 }
@@ -81,10 +89,10 @@
     for (i, b) in open.into_iter().enumerate() {
         let (label, n) = load.iter_mut().min_by_key(|(l, n)| {
             // Leading is work too: among equals, another member. Whoever handed the
-            // block back did so for a reason, heard by us or not.
-            let gave_up = cache.resigned(b).is_some_and(|r| r == **l);
+            // partition back did so for a reason, heard by us or not.
+            let gave_up = cache.handed_back_by(b).is_some_and(|r| r == **l);
             // During a roll those with the newest version have had their turn: guards
-            // against a block that changes hands with each controller that is replaced.
+            // against a partition that changes hands with each controller that is replaced.
             let format = cache.members.get(**l).map(|(_, m)| m.format);
             (
                 !fit(l),
@@ -99,7 +107,7 @@
         let incarnation = cache.members.get(*label)?.0;
         let teams = settings.platform.teams.iter().enumerate();
         let teams = teams
-            .filter(|(t, _)| block_of(cache, settings, blocks, *t) == b)
+            .filter(|(t, _)| block_of(cache, settings, partitions, *t) == b)
             .map(|(_, team)| team.name.clone())
             .collect();
         let rec = PartitionOwnerRecord {
@@ -108,12 +116,12 @@
             term: Term(first.0 + i as u64),
             teams,
         };
-        // The member must still be in, or the block would go to a dead one.
+        // The member must still be in, or the partition would go to a dead one.
         let member = compare(keys::member(label), incarnation);
         if !compares.contains(&member) {
             compares.push(member);
         }
-        compares.push(compare(keys::partition_owner(b), cache.holder_revision(b)));
+        compares.push(compare(keys::partition_owner(b), cache.owner_revision(b)));
         mutations.push(store::put(keys::partition_owner(b), &rec));
     }
     Some((compares, mutations))
@@ -124,7 +132,7 @@
 pub enum CandidateState {
     /// It hears another member.
     Connected,
-    /// It hears no other member, but holds a block.
+    /// It hears no other member, but holds a partition.
     IsolatedOwner,
     /// It hears no other member, or lately none of its machines.
     Isolated,
@@ -154,7 +162,7 @@
         + match candidate_state {
             CandidateState::Connected => Micros::ZERO,
             // Whoever hears none of the others may be the one that is cut off. But if
-            // nobody hears anybody, only a holder knows what room its block lacks.
+            // nobody hears anybody, only an owner knows what room its partition lacks.
             CandidateState::IsolatedOwner => Micros::from_millis(3_000),
             CandidateState::Isolated => Micros::from_millis(4_000),
         };
--- a/src/partitions/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -30,11 +30,11 @@
 
 fn try_grants(
     m: &WatchCache,
-    blocks: u64,
+    partitions: u64,
     fit: &dyn Fn(&Label) -> bool,
 ) -> Option<(Vec<Compare>, Vec<Mutation>)> {
     let leader = as_leader(m, &settings().label, Some(Revision(1)))?;
-    grants(m, leader, &settings(), blocks, fit)
+    grants(m, leader, &settings(), partitions, fit)
 }
 
 fn granted(mutations: &[Mutation]) -> Vec<(String, PartitionOwnerRecord)> {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn every_block_goes_to_a_living_member_under_its_own_new_term() {
+fn every_partition_goes_to_a_living_member_under_its_own_new_term() {
     let m = cache(&[("c0", 1), ("c1", 2)]);
     let (compares, mutations) = try_grants(&m, 2, &|_| true).expect("grants");
     let g = granted(&mutations);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_dead_holders_block_goes_whole_to_a_survivor_and_keeps_its_teams() {
+fn a_dead_owners_partition_goes_whole_to_a_survivor_and_keeps_its_teams() {
     let mut m = cache(&[("c0", 1), ("c1", 20)]);
     // c1 came back as a new incarnation: its old grant is void.
     let old = PartitionOwnerRecord {
@@ -75,7 +75,8 @@
         term: Term(7),
         teams: vec!["red".into(), "blue".into()],
     };
-    m.holders.insert(PartitionId(0), (Revision(8), old));
+    m.partition_owners
+        .insert(PartitionId(0), (Revision(8), old));
     let (compares, mutations) = try_grants(&m, 1, &|l| l.as_str() == "c0").expect("grants");
     let g = granted(&mutations);
     assert_eq!(
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn only_the_leader_grants_and_a_living_holder_keeps_its_block() {
+fn only_the_leader_grants_and_a_living_owner_keeps_its_partition() {
     let mut m = cache(&[("c0", 1)]);
     let held = PartitionOwnerRecord {
         owner: "c0".into(),
@@ -94,7 +95,8 @@
         term: Term(7),
         teams: vec![],
     };
-    m.holders.insert(PartitionId(0), (Revision(8), held));
+    m.partition_owners
+        .insert(PartitionId(0), (Revision(8), held));
     assert_eq!(try_grants(&m, 1, &|_| true), None);
     m.leader = Some((
         Revision(6),
@@ -103,11 +105,11 @@
             incarnation: Revision(2),
         },
     ));
-    m.holders.clear();
+    m.partition_owners.clear();
     assert_eq!(try_grants(&m, 1, &|_| true), None);
 }
 #[test]
-fn who_handed_a_block_back_does_not_get_it_again_while_others_are_in() {
+fn who_handed_a_partition_back_does_not_get_it_again_while_others_are_in() {
     let mut m = cache(&[("c0", 1), ("c1", 2)]);
     let back = PartitionOwnerRecord {
         owner: "c1".into(),
@@ -115,7 +117,8 @@
         term: Term(7),
         teams: vec!["red".into(), "blue".into()],
     };
-    m.holders.insert(PartitionId(0), (Revision(8), back));
+    m.partition_owners
+        .insert(PartitionId(0), (Revision(8), back));
     // Nobody is heard by the leader just now.
     let (_, mutations) = try_grants(&m, 1, &|_| false).expect("grants");
     assert_eq!(granted(&mutations)[0].1.owner.as_str(), "c0");
@@ -128,20 +131,20 @@
     );
 }
 
-/// Seen in a roll: the block of the controller that was replaced went to one whose turn
+/// Seen in a roll: the partition of the controller that was replaced went to one whose turn
 /// came next, and each time all of its machines had to report anew.
 #[test]
-fn among_equals_a_block_goes_to_the_member_with_the_newest_version() {
+fn among_equals_a_partition_goes_to_the_member_with_the_newest_version() {
     let mut m = cache(&[("c0", 1), ("c1", 2), ("c2", 3), ("c3", 4)]);
     for old in ["c1", "c3"] {
         let (_, member) = m.members.get_mut(&Label::from(old)).expect("a member");
         member.format = FormatLevel::default();
     }
-    let holder = |fit: &dyn Fn(&Label) -> bool| {
+    let owner = |fit: &dyn Fn(&Label) -> bool| {
         let (_, mutations) = try_grants(&m, 1, fit).expect("a grant");
         granted(&mutations)[0].1.owner.clone()
     };
-    assert_eq!(holder(&|_| true), "c2".into());
+    assert_eq!(owner(&|_| true), "c2".into());
     let only_old = |l: &Label| l.as_str() == "c1" || l.as_str() == "c3";
-    assert_eq!(holder(&only_old), "c1".into(), "who is heard comes first");
+    assert_eq!(owner(&only_old), "c1".into(), "who is heard comes first");
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
 //! rockdeal: a cluster scheduler that places waiting work lightest team first
-//! inside fenced blocks of machines that a leader leases to controllers.
+//! inside fenced partitions of machines that a leader leases to controllers.
 //!
 //! Every slice keeps its decisions in plain, synchronous state that is told
 //! the time; only the thin drivers around them know sockets and clocks.
@@ -9,11 +9,15 @@
 pub use rockdeal_types::{clock, ids};
 
 pub mod api;
+pub mod autoscaler;
+pub mod cloud;
 pub mod controller;
 pub mod fairness;
-pub mod fleet;
+pub mod http_client;
 pub mod jobs;
+pub mod leader;
 pub mod mesh;
+pub mod partition_owner;
 pub mod partitions;
 pub mod placement;
 pub mod policy;
--- a/src/main.rs
+++ b/src/main.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 
 /// A cluster scheduler: places work lightest team first inside fenced, leased
-/// blocks of machines.
+/// partitions of machines.
 #[derive(Parser)]
 #[command(
     name = "rockdeal",
@@ -149,7 +149,7 @@
             "{}: fine; a block's lease is {} s; blocks: {}{}",
             files.config.display(),
             settings.lease().as_secs(),
-            policy.blocks(&settings),
+            policy.partition_count(&settings),
             describe(&subsystems)
         );
         return ExitCode::SUCCESS;
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -21,13 +21,13 @@
 /// Frames of another version are skipped, so that versions can meet in a roll.
 const VERSION: u16 = 2;
 
-/// What a holder tells of a block.
+/// What an owner tells of a partition.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PartitionState {
     /// When it was received, by the receiver's clock.
     #[serde(skip)]
     pub received_at: Micros,
-    /// Which block.
+    /// Which partition.
     pub partition: PartitionId,
     /// The term of its grant.
     pub term: Term,
@@ -48,17 +48,17 @@
     pub store_reachable: bool,
     /// False: it hears none of its machines.
     pub workers_reachable: bool,
-    /// The blocks that it holds.
+    /// The partitions that it holds.
     pub partitions: Vec<PartitionState>,
 }
 
 /// What controllers tell each other.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// How a controller and its blocks are.
+    /// How a controller and its partitions are.
     PeerState(PeerState),
     /// The store has confirmed that a job is cancelled, at this revision. Whoever holds
-    /// its block hears it here before the watch tells, or while the store can't be read.
+    /// its partition hears it here before the watch tells, or while the store can't be read.
     Cancelled {
         /// The cancelled job.
         job: JobId,
--- a/src/mesh/tests.rs
+++ b/src/mesh/tests.rs
@@ -47,11 +47,13 @@
 
 #[test]
 fn every_kind_of_message_keeps_its_bytes() {
-    // Two blocks, and of each yes or no the other one than in the production fixtures.
+    // Two partitions, and of each yes or no the other one than in the production fixtures.
     let need =
         "0000000000000440 000000000000f03f 0000000000003040 00 00 00 ac02 000000000000e03f 00";
-    let block = format!("ac02 f0a204 01 {need} 02 036d2d31 036d2d32");
-    let state = round_trip(&format!("02 00 026331 ac02 00 01 02 {block} 00 00 00 00"));
+    let partition = format!("ac02 f0a204 01 {need} 02 036d2d31 036d2d32");
+    let state = round_trip(&format!(
+        "02 00 026331 ac02 00 01 02 {partition} 00 00 00 00"
+    ));
     let request = crate::fairness::Resources::new(2.5, 1.0, 16.0);
     let needs = vec![CapacityRequest {
         request,
@@ -62,20 +64,20 @@
         estimated_run_time_s: 0.5,
         waited_long: false,
     }];
-    let block = |block, term, needs, dead| PartitionState {
+    let partition = |partition, term, needs, dead| PartitionState {
         received_at: Micros::ZERO,
-        partition: PartitionId(block),
+        partition: PartitionId(partition),
         term: Term(term),
         capacity_requests: needs,
         releasable_machines: dead,
     };
-    let full = block(300, 70_000, needs, vec!["m-1".into(), "m-2".into()]);
+    let full = partition(300, 70_000, needs, vec!["m-1".into(), "m-2".into()]);
     let expected = PeerState {
         sender: "c1".into(),
         incarnation: Revision(300),
         store_reachable: false,
         workers_reachable: true,
-        partitions: vec![full, block(0, 0, vec![], vec![])],
+        partitions: vec![full, partition(0, 0, vec![], vec![])],
     };
     assert_eq!(state, Message::PeerState(expected));
     let cancelled = Message::Cancelled {
--- a/src/partitions/owner/health.rs
+++ b/src/partition_owner/health.rs
@@ -23,7 +23,7 @@
     }
 
     /// Machines that are to be returned get nothing more to do.
-    pub fn condemn(&mut self, dead: &[MachineId]) {
+    pub fn cordon(&mut self, dead: &[MachineId]) {
         for id in dead {
             // What was never heard may still be booting.
             if let Some(m) = self
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Nothing of the block is heard any more: it is we who are cut off.
-    pub fn partitioned(&self, now: Micros) -> bool {
+    /// Nothing of the partition is heard any more: it is we who are cut off.
+    pub fn is_isolated(&self, now: Micros) -> bool {
         let known = self
             .machines
             .values()
@@ -51,7 +51,7 @@
 
     /// Machines that should be returned: silent ones, suspects that do not hear us,
     /// and drained ones that failed.
-    pub fn dead(&self, now: Micros) -> Vec<MachineId> {
+    pub fn releasable_machines(&self, now: Micros) -> Vec<MachineId> {
         // If none is heard, the fault is ours and not theirs.
         if self.machines.len() > 1 && now.since(self.last_report) > Micros::from_millis(4_000) {
             return Vec::new();
@@ -97,7 +97,7 @@
         // A machine that is silent with its zone waits for the zone's turn. Those that fail
         // by themselves do not.
         let withheld = |id: &MachineId, m: &Machine| {
-            let evacuation = self.zones.as_ref();
+            let evacuation = self.zone_evacuation.as_ref();
             let with_zone =
                 evacuation.is_some_and(|evacuation| evacuation.withholds(now, id, &m.zone));
             with_zone && self.is_silent(now, m)
--- a/src/partitions/owner/heartbeats.rs
+++ b/src/partition_owner/heartbeats.rs
@@ -17,7 +17,7 @@
 
 impl OwnedPartition {
     /// A worker's report. None: it gets no valid answer from us.
-    pub fn check_in(
+    pub fn handle_heartbeat(
         &mut self,
         now: Micros,
         wall_clock: Micros,
@@ -25,7 +25,7 @@
         until: Micros,
         r: &Heartbeat,
     ) -> Option<HeartbeatResponse> {
-        if self.resigns() {
+        if self.is_being_handed_back() {
             return None;
         }
         let counts = self.observe(now, r)?;
@@ -89,13 +89,18 @@
             self.event(now, &r.machine, event);
         }
         if changed {
-            self.reweigh(&r.machine);
+            self.update_usage(&r.machine);
         }
         self.settled |= was_unconfirmed;
     }
 
     /// The answer to a `/do`, or none.
-    pub fn direct_answer(&mut self, now: Micros, id: &MachineId, answer: Option<Heartbeat>) {
+    pub fn handle_direct_command_reply(
+        &mut self,
+        now: Micros,
+        id: &MachineId,
+        answer: Option<Heartbeat>,
+    ) {
         self.directs_out = self.directs_out.saturating_sub(1);
         let Some(m) = self.machines.get_mut(id) else {
             return;
@@ -116,7 +121,7 @@
                 .for_each(|t| t.sent = false);
         }
         if m.has_restarted(&r) {
-            tracing::info!(block = %self.block, machine = %id, "the worker has begun anew");
+            tracing::info!(partition = %self.id, machine = %id, "the worker has begun anew");
             m.record_restart(now, &r);
         } else if !m.shows_term(&r) {
             m.record_uncounted_heartbeat(&r);
@@ -128,7 +133,7 @@
     }
 
     /// It surely did not go out: there is nothing to fence.
-    pub fn direct_not_sent(&mut self, now: Micros, id: &MachineId) {
+    pub fn handle_direct_command_not_sent(&mut self, now: Micros, id: &MachineId) {
         self.directs_out = self.directs_out.saturating_sub(1);
         let Some(m) = self.machines.get_mut(id) else {
             return;
@@ -140,7 +145,7 @@
         m.unsent_commands += 1;
         m.needs_probe = true;
         let keys = m.abandon_unsent_launches();
-        self.reweigh(id);
+        self.update_usage(id);
         for key in keys {
             self.requeue(&key, id);
         }
@@ -217,7 +222,7 @@
     }
 
     /// Reads of the records of jobs that machines show and that are not known here.
-    pub fn reads(&mut self, now: Micros) -> Vec<Effect> {
+    pub fn take_ended_job_reads(&mut self, now: Micros) -> Vec<Effect> {
         let due = self.unknown_jobs.iter_mut().filter_map(|(id, s)| match s {
             UnknownJob::Read(at) if now >= *at => {
                 *s = UnknownJob::Reading;
@@ -229,7 +234,7 @@
     }
 
     /// The record of an ended job was read, or not.
-    pub fn read_ended(&mut self, now: Micros, id: &JobId, reply: &Reply) {
+    pub fn handle_ended_job_reply(&mut self, now: Micros, id: &JobId, reply: &Reply) {
         let takes = match reply {
             Reply::Value(row) => EndedRecord::read(row)
                 .ok()
@@ -252,7 +257,7 @@
             }
         }
         for at in on {
-            self.reweigh(&at);
+            self.update_usage(&at);
         }
         self.pass_pending = true;
     }
@@ -297,12 +302,12 @@
                     .keys()
                     .filter(|j| jobs.get(*j).is_none_or(|j| !j.fails()));
                 if fair.count() >= 2 && !m.draining {
-                    tracing::info!(block = %self.block, machine = %on, "machine fails tasks of several jobs: drained");
+                    tracing::info!(partition = %self.id, machine = %on, "machine fails tasks of several jobs: drained");
                     m.draining = true;
                 }
             }
         }
-        tracing::debug!(block = %self.block, task = %key.0, attempt = %key.1, ?cause, machine = %on, "attempt ended");
+        tracing::debug!(partition = %self.id, task = %key.0, attempt = %key.1, ?cause, machine = %on, "attempt ended");
         self.requeue(&key, on);
     }
 }
--- a/src/partitions/owner/mod.rs
+++ b/src/partition_owner/mod.rs
@@ -1,4 +1,4 @@
-//! A block in its holder's hands: its teams' jobs, its machines, and what is
+//! A partition in its owner's hands: its teams' jobs, its machines, and what is
 //! decided about them. Everything that must be decided together (a team's
 //! limit, zones, one machine per task) is decided here, in one place.
 
@@ -11,12 +11,12 @@
 
 pub use zones::MachineCounts;
 
-use super::{MachinesRecord, PartitionOwnerRecord, ReleaseReason};
 use crate::clock::Micros;
+use crate::cloud::MachineType;
 use crate::fairness::{Resources, UsageByTeam};
-use crate::fleet::MachineType;
 use crate::ids::{JobId, Label, MachineId, PartitionId, Revision, Term};
 use crate::jobs::{Job, JobState};
+use crate::partitions::{MachinesRecord, PartitionOwnerRecord, ReleaseReason};
 use crate::placement::{
     self, CapacityRequest, ConstrainedDemand, FailoverRecovery, PendingMachines, Queues,
     SchedulingSnapshot, SilentMachines,
@@ -31,7 +31,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A write of this holder, as it comes back with its answer.
+/// A write of this owner, as it comes back with its answer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Write {
     /// Jobs that are over.
@@ -56,7 +56,7 @@
     Open(Vec<MachineId>),
 }
 
-/// What a holder wants done.
+/// What an owner wants done.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Write to the store.
@@ -67,30 +67,30 @@
     ReadEnded(JobId),
 }
 
-/// A block in the hands of this controller.
+/// A partition in the hands of this controller.
 pub struct OwnedPartition {
-    /// Which block.
-    pub block: PartitionId,
+    /// Which partition.
+    pub id: PartitionId,
     /// The term of its grant.
     pub term: Term,
     revision: Revision,
-    me: Label,
+    label: Label,
     settings: Rc<Settings>,
     policy: Rc<Policy>,
     teams: Vec<usize>,
     /// Since when it is held.
-    pub granted: Micros,
-    /// The block's machines.
+    pub granted_at: Micros,
+    /// The partition's machines.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// The jobs of the block's teams.
+    /// The jobs of the partition's teams.
     pub jobs: BTreeMap<JobId, Job>,
     /// The teams' sums over the machines' loads, changed with each of them.
-    weights: UsageByTeam,
+    usage: UsageByTeam,
     recovery: Option<FailoverRecovery>,
-    /// A machine of the take-over has reported: once for all that do in a tick, since
-    /// counting walks over the block.
+    /// A machine of the failover has reported: once for all that do in a tick, since
+    /// counting walks over the partition.
     settled: bool,
-    /// Since when all machines of the take-over are known: idleness counts from there.
+    /// Since when all machines of the failover are known: idleness counts from there.
     recovered_at: Micros,
     counter: u64,
     /// Ends that are not stored yet, by job: reaped once they are.
@@ -109,7 +109,7 @@
     /// Machines that may have to be told something directly.
     pending_commands: BTreeSet<MachineId>,
     directs_out: usize,
-    /// The order of waiting jobs, as the last pass over the block left it.
+    /// The order of waiting jobs, as the last pass over the partition left it.
     queues: Queues,
     /// Classes that wait and have little choice of machines.
     constrained: ConstrainedDemand,
@@ -120,7 +120,7 @@
     resigning: Option<Resigning>,
     /// Machines may have been heard that are not recorded as used.
     to_open: bool,
-    /// Something changed that a pass over the block should look at.
+    /// Something changed that a pass over the partition should look at.
     pass_pending: bool,
     next_pass: Micros,
     last_preempt: Micros,
@@ -141,7 +141,7 @@
     /// The machine types, for their prices.
     types: Rc<[MachineType]>,
     /// None: zone failover is off.
-    zones: Option<ZoneEvacuation>,
+    zone_evacuation: Option<ZoneEvacuation>,
     last_move_home: Micros,
 }
 
@@ -172,9 +172,9 @@
 const LATE: Micros = Micros::from_millis(400);
 
 impl OwnedPartition {
-    /// A block that has just been granted, still empty.
+    /// A partition that has just been granted, still empty.
     pub fn new(
-        block: PartitionId,
+        partition: PartitionId,
         rec: &PartitionOwnerRecord,
         revision: Revision,
         settings: &Rc<Settings>,
@@ -182,19 +182,20 @@
         now: Micros,
     ) -> Self {
         let teams: Vec<usize> = rec.teams.iter().filter_map(|t| settings.team(t)).collect();
-        // All blocks together leave most changes to what can't wait.
-        let rate = settings.platform.state.lowest_write_rps() / policy.blocks(settings) as f64;
+        // All partitions together leave most changes to what can't wait.
+        let rate =
+            settings.platform.state.lowest_write_rps() / policy.partition_count(settings) as f64;
         OwnedPartition {
-            block,
+            id: partition,
             term: rec.term,
             revision,
-            me: settings.label.clone(),
+            label: settings.label.clone(),
             settings: settings.clone(),
             policy: policy.clone(),
-            granted: now,
+            granted_at: now,
             machines: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            weights: UsageByTeam::new(&teams),
+            usage: UsageByTeam::new(&teams),
             teams,
             recovery: None,
             settled: false,
@@ -227,13 +228,13 @@
             last_open: Micros::ZERO,
             machines_compared: 0,
             types: Rc::new([]),
-            zones: None,
+            zone_evacuation: None,
             last_move_home: now,
         }
     }
 
     /// The store has cancelled a job: nothing more of it starts.
-    pub fn cancelled(&mut self, id: &JobId) {
+    pub fn cancel_job(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id).filter(|j| !j.ended) {
             job.ended = true;
             self.stop_job(id);
@@ -255,8 +256,8 @@
         }
     }
 
-    /// Whether machines of the take-over are still to report.
-    pub fn recovery(&self) -> bool {
+    /// Whether machines of the failover are still to report.
+    pub fn is_recovering(&self) -> bool {
         self.recovery.is_some()
     }
 
@@ -272,12 +273,12 @@
     }
 
     /// The attempts on a machine changed: so do the sums.
-    fn reweigh(&mut self, id: &MachineId) {
+    fn update_usage(&mut self, id: &MachineId) {
         if let Some(m) = self.machines.get_mut(id) {
             let load = m.compute_load();
             if load != m.load {
-                self.weights.remove(&m.load, m.capacity);
-                self.weights.add(&load, m.capacity);
+                self.usage.remove(&m.load, m.capacity);
+                self.usage.add(&load, m.capacity);
                 m.load = load;
             }
         }
@@ -297,7 +298,7 @@
             jobs: &self.jobs,
             machines: &self.machines,
             teams: &self.teams,
-            usage: &self.weights,
+            usage: &self.usage,
             recovery: self.recovery.as_ref(),
             constrained: &self.constrained,
             failing: self
@@ -308,7 +309,7 @@
                 .map(|job| (job.team, job.failing()))
                 .collect(),
             heartbeat_timeout: self.heard_within(),
-            zone_evacuation: self.zones.as_ref(),
+            zone_evacuation: self.zone_evacuation.as_ref(),
         }
     }
 
@@ -321,7 +322,7 @@
         self.last_tick = now;
         if now.since(self.last_look) >= LOOK {
             self.last_look = now;
-            self.look(now);
+            self.run_periodic_checks(now);
             self.look_at_zones(now, wall_clock, fleet);
         }
         if std::mem::take(&mut self.settled) {
@@ -332,10 +333,10 @@
 
     /// Leases that ran out, machines that should be asked for a sign of life, and
     /// those that the cloud is about to take.
-    fn look(&mut self, now: Micros) {
+    fn run_periodic_checks(&mut self, now: Micros) {
         let over_after = self.settings.worker_lease_timeout();
         let (intro, quiet, silence) = (
-            now.since(self.granted) > TOKEN_COMMAND_AFTER,
+            now.since(self.granted_at) > TOKEN_COMMAND_AFTER,
             self.reports_of(1.4) + LOOK,
             self.silence(),
         );
@@ -347,7 +348,7 @@
         for (id, m) in &mut self.machines {
             let busy = m.unconfirmed || m.attempts.values().any(|t| t.phase != Phase::Exited);
             if busy && now.since(m.lease_started_at()) > over_after {
-                tracing::info!(block = %self.block, machine = %id, "worker's lease is over");
+                tracing::info!(partition = %self.id, machine = %id, "worker's lease is over");
                 let keys = m.expire();
                 displaced.extend(keys.iter().map(|k| (k.0.job.clone(), m.zone.clone())));
                 ended.extend(keys.into_iter().map(|k| (k, id.clone())));
@@ -385,7 +386,7 @@
             }
         }
         for id in over {
-            self.reweigh(&id);
+            self.update_usage(&id);
         }
         for (key, id) in ended {
             self.requeue(&key, &id);
@@ -399,7 +400,12 @@
     }
 
     /// The room that waiting work lacks.
-    pub fn needs(&self, now: Micros, wall_clock: Micros, fleet: Resources) -> Vec<CapacityRequest> {
+    pub fn capacity_requests(
+        &self,
+        now: Micros,
+        wall_clock: Micros,
+        fleet: Resources,
+    ) -> Vec<CapacityRequest> {
         let mut coming: Vec<PendingMachines<'_>> = Vec::new();
         for m in self
             .machines
@@ -430,8 +436,8 @@
         )
     }
 
-    /// A line for operators on how the block is used.
-    pub fn log_use(&self, now: Micros) {
+    /// A line for operators on how the partition is used.
+    pub fn log_usage(&self, now: Micros) {
         let heard = self.heard_within();
         let usable = |m: &&Machine| placement::usable(m, now, heard);
         let cores =
@@ -445,21 +451,21 @@
         }
         let bound_to_lost_zones = self.bound_to_lost_zones();
         let behind_others = self.jobs.values().filter(|j| !j.is_ready()).count();
-        tracing::info!(block = %self.block, term = %self.term, machines = self.machines.len(), up, booting, used, ?waiting, jobs = self.jobs.len(), behind_others, bound_to_lost_zones, pending_commands = self.pending_commands.len(), machines_compared = self.machines_compared, late_ticks = self.late_ticks, "use");
+        tracing::info!(partition = %self.id, term = %self.term, machines = self.machines.len(), up, booting, used, ?waiting, jobs = self.jobs.len(), behind_others, bound_to_lost_zones, pending_commands = self.pending_commands.len(), machines_compared = self.machines_compared, late_ticks = self.late_ticks, "use");
     }
 
     /// Each team's heaviness, for the sums; they are made anew from the machines'
     /// loads each time, so that no rounding adds up.
-    pub fn sums(&mut self, fleet: Resources) -> BTreeMap<String, f64> {
+    pub fn team_heaviness(&mut self, fleet: Resources) -> BTreeMap<String, f64> {
         let mut weights = UsageByTeam::new(&self.teams);
         for m in self.machines.values() {
             weights.add(&m.load, m.capacity);
         }
-        self.weights = weights;
+        self.usage = weights;
         let all = self.settings.guarantees();
         let of = |t: &usize| {
             let team = &self.settings.platform.teams[*t];
-            let heaviness = self.weights.heaviness(*t, team.guarantee(), all, fleet);
+            let heaviness = self.usage.heaviness(*t, team.guarantee(), all, fleet);
             (team.name.clone(), heaviness)
         };
         self.teams.iter().map(of).collect()
@@ -468,10 +474,10 @@
 
 /// Saving takes as long as the job says; orders and reports take this much more.
 const NOTICE_MARGIN_S: f64 = 3.0;
-/// Machines of a take-over report by themselves; those that have not by then are
+/// Machines of a failover report by themselves; those that have not by then are
 /// spoken to.
 const TOKEN_COMMAND_AFTER: Micros = Micros::from_millis(2_500);
-/// The part of the store's changes that progress may take, over all blocks.
+/// The part of the store's changes that progress may take, over all partitions.
 const PROGRESS_PART: f64 = 0.35;
 /// The part that whether jobs run may take.
 const DISPLAY_PART: f64 = 0.1;
--- a/src/partitions/owner/reconcile.rs
+++ b/src/partition_owner/reconcile.rs
@@ -1,4 +1,4 @@
-//! Taking in what the store says of the block: its machines, its jobs, their progress, and
+//! Taking in what the store says of the partition: its machines, its jobs, their progress, and
 //! how the jobs before them stand.
 
 use super::*;
@@ -7,42 +7,42 @@
 use crate::workers::ReleaseState;
 
 impl OwnedPartition {
-    /// Takes over what the mirror has. What ran before is learnt from reports:
+    /// Takes over what the cache has. What ran before is learnt from reports:
     /// until a machine has reported under our token, it may run anything.
-    pub fn take_over(&mut self, now: Micros, cache: &WatchCache, types: &[MachineType]) {
+    pub fn fail_over(&mut self, now: Micros, cache: &WatchCache, types: &[MachineType]) {
         // For telling which work has a choice of machines.
         self.constrained = ConstrainedDemand::new(types);
         self.types = types.into();
-        let shards: Vec<u32> = cache.shards(self.block).map(|(n, ..)| n).collect();
+        let shards: Vec<u32> = cache.shards(self.id).map(|(n, ..)| n).collect();
         for n in shards {
-            self.sync_shard(now, n, cache, types, true);
+            self.reconcile_shard(now, n, cache, types, true);
         }
         let ids: Vec<JobId> = cache.jobs.keys().cloned().collect();
         for id in ids {
-            self.sync_job(&id, cache);
+            self.reconcile_job(&id, cache);
         }
     }
 
-    /// The store was read from the start while we held the block all along.
+    /// The store was read from the start while we held the partition all along.
     pub fn reload(&mut self, now: Micros, cache: &WatchCache, types: &[MachineType]) {
         let known = self.machines.values().map(|m| m.shard);
         let shards: BTreeSet<u32> = known
-            .chain(cache.shards(self.block).map(|(n, ..)| n))
+            .chain(cache.shards(self.id).map(|(n, ..)| n))
             .collect();
         for n in shards {
-            self.sync_shard(now, n, cache, types, false);
+            self.reconcile_shard(now, n, cache, types, false);
         }
         let jobs: BTreeSet<JobId> = self.jobs.keys().chain(cache.jobs.keys()).cloned().collect();
         for id in jobs {
-            self.sync_job(&id, cache);
+            self.reconcile_job(&id, cache);
         }
-        for (id, page) in cache.pages.keys() {
-            self.sync_page(id, *page, cache);
+        for (id, page) in cache.progress_pages.keys() {
+            self.reconcile_progress_page(id, *page, cache);
         }
     }
 
-    /// A shard of the block's machines changed in the store.
-    pub fn sync_shard(
+    /// A shard of the partition's machines changed in the store.
+    pub fn reconcile_shard(
         &mut self,
         now: Micros,
         shard: u32,
@@ -50,14 +50,14 @@
         types: &[MachineType],
         at_grant: bool,
     ) {
-        let in_block = |id: &MachineId| {
+        let in_partition = |id: &MachineId| {
             let found = cache.machine(id);
-            found.filter(|((b, _), r)| *b == self.block && r.release_reason.is_none())
+            found.filter(|((b, _), r)| *b == self.id && r.release_reason.is_none())
         };
         let of_shard = self.machines.iter().filter(|(_, m)| m.shard == shard);
         let mut lost: Vec<MachineId> = Vec::new();
         for (id, _) in of_shard {
-            if in_block(id).is_none() {
+            if in_partition(id).is_none() {
                 lost.push(id.clone());
             }
         }
@@ -65,16 +65,16 @@
             // The leader takes a machine out only after the cloud has said that it
             // and all that was on it are gone; or we gave it up, idle.
             if let Some(mut m) = self.machines.remove(&id) {
-                self.weights.remove(&m.load, m.capacity);
+                self.usage.remove(&m.load, m.capacity);
                 let keys = m.expire();
-                tracing::info!(block = %self.block, machine = %id, lost = keys.len(), "machine left the block");
+                tracing::info!(partition = %self.id, machine = %id, lost = keys.len(), "machine left the block");
                 for key in keys {
                     self.displace(&key.0.job, &m.zone);
                     self.requeue(&key, &id);
                 }
             }
         }
-        let Some((revision, rec)) = cache.machines.get(&(self.block, shard)) else {
+        let Some((revision, rec)) = cache.machine_shards.get(&(self.id, shard)) else {
             return;
         };
         for (id, r) in rec.0.iter().filter(|(_, r)| r.release_reason.is_none()) {
@@ -106,7 +106,7 @@
             m.used = r.used;
             m.image_fetch_gb_per_s = machine_type.map_or(1.0, |t| t.fetch_gb_per_s);
             m.load = m.compute_load();
-            self.weights.add(&m.load, m.capacity);
+            self.usage.add(&m.load, m.capacity);
             self.machines.insert(id.clone(), m);
         }
         self.count_unconfirmed(now);
@@ -114,13 +114,13 @@
     }
 
     /// A job changed in the store.
-    pub fn sync_job(&mut self, id: &JobId, cache: &WatchCache) {
+    pub fn reconcile_job(&mut self, id: &JobId, cache: &WatchCache) {
         let Some((revision, rec)) = cache.jobs.get(id) else {
             if let Some(job) = self.jobs.remove(id) {
                 self.pass_pending = true;
                 self.unreaped.remove(id);
                 if !job.ended {
-                    tracing::info!(block = %self.block, job = %id, "job ended elsewhere: cancelled");
+                    tracing::info!(partition = %self.id, job = %id, "job ended elsewhere: cancelled");
                 }
                 self.stop_job(id);
             }
@@ -149,7 +149,7 @@
 
     /// The dependency graph changed: which jobs may start, which are cancelled with one
     /// before them, and what they have from those that need them.
-    pub fn sync_dependencies(&mut self, graph: &DependencyGraph) {
+    pub fn update_dependencies(&mut self, graph: &DependencyGraph) {
         for (id, job) in &mut self.jobs {
             self.pass_pending |= job.inherit(graph.inherited(id));
             if job.desc.dependencies.is_empty() || job.ended {
@@ -162,13 +162,13 @@
             self.pass_pending = true;
             match readiness {
                 Readiness::Ready(_) => {
-                    tracing::info!(block = %self.block, job = %id, "all jobs before it are done");
+                    tracing::info!(partition = %self.id, job = %id, "all jobs before it are done");
                 }
                 Readiness::Waiting(on) => {
-                    tracing::info!(block = %self.block, job = %id, %on, "waits for a job before it");
+                    tracing::info!(partition = %self.id, job = %id, %on, "waits for a job before it");
                 }
                 Readiness::Cancelled => {
-                    tracing::info!(block = %self.block, job = %id, "cancelled with a job before it");
+                    tracing::info!(partition = %self.id, job = %id, "cancelled with a job before it");
                     self.dirty.insert(id.clone());
                 }
             }
@@ -177,8 +177,8 @@
 
     /// A page of a job's progress changed: by our own write, one without an answer
     /// included.
-    pub fn sync_page(&mut self, id: &JobId, page: u32, cache: &WatchCache) {
-        if let Some((revision, _)) = cache.pages.get(&(id.clone(), page))
+    pub fn reconcile_progress_page(&mut self, id: &JobId, page: u32, cache: &WatchCache) {
+        if let Some((revision, _)) = cache.progress_pages.get(&(id.clone(), page))
             && let Some(job) = self.jobs.get_mut(id)
         {
             job.page_changed(page, *revision);
@@ -215,7 +215,7 @@
         self.recovery = recovery;
         if over {
             self.recovered_at = now;
-            tracing::info!(block = %self.block, term = %self.term, "all machines of the take-over have reported or are over");
+            tracing::info!(partition = %self.id, term = %self.term, "all machines of the take-over have reported or are over");
         }
     }
 }
--- a/src/partitions/owner/records.rs
+++ b/src/partition_owner/records.rs
@@ -1,4 +1,4 @@
-//! What the holder records: jobs' ends and progress, machines in use or given up.
+//! What the owner records: jobs' ends and progress, machines in use or given up.
 
 use super::{Effect, MachinesRecord, OwnedPartition, ReleaseReason, Resigning, Write};
 use crate::clock::Micros;
@@ -9,7 +9,7 @@
 use crate::watch_cache::WatchCache;
 use crate::workers::{AttemptKey, Machine, ReleaseState};
 
-/// A job's progress is batched for this long, and longer where all blocks' progress
+/// A job's progress is batched for this long, and longer where all partitions' progress
 /// would take more of the store's changes than its part.
 const PROGRESS_GAP: Micros = Micros::from_millis(2_000);
 /// After a write that was refused or had no answer; the watch tells the revisions.
@@ -22,7 +22,7 @@
 
 impl OwnedPartition {
     /// Batches of job changes for the store: ends at once, then progress.
-    pub fn writes(&mut self, now: Micros, wall_clock: Micros) -> Vec<Effect> {
+    pub fn take_writes(&mut self, now: Micros, wall_clock: Micros) -> Vec<Effect> {
         let dirty: Vec<JobId> = self.dirty.iter().cloned().collect();
         let (mut ends, mut due) = (Vec::new(), Vec::new());
         for id in dirty {
@@ -50,14 +50,14 @@
         out
     }
 
-    fn own(&self) -> Compare {
-        compare(keys::partition_owner(self.block), self.revision)
+    fn ownership_compare(&self) -> Compare {
+        compare(keys::partition_owner(self.id), self.revision)
     }
 
     fn write_ends(&mut self, wall_clock: Micros, over: Vec<JobId>) -> Option<Effect> {
         let budget = self.settings.max_mutations();
         let (mut ends, mut reap) = (Vec::new(), Vec::new());
-        let (mut compares, mut mutations) = (vec![self.own()], Vec::new());
+        let (mut compares, mut mutations) = (vec![self.ownership_compare()], Vec::new());
         for id in over {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
@@ -83,7 +83,8 @@
     fn write_progress(&mut self, now: Micros, due: Vec<(bool, Micros, JobId)>) -> Option<Effect> {
         let budget = self.settings.max_mutations();
         let (mut jobs, mut reap) = (Vec::new(), Vec::new());
-        let (mut compares, mut mutations, mut bytes) = (vec![self.own()], Vec::new(), 0);
+        let (mut compares, mut mutations, mut bytes) =
+            (vec![self.ownership_compare()], Vec::new(), 0);
         for (only_display, _, id) in due {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
@@ -95,7 +96,7 @@
             {
                 break;
             }
-            let (c, o, pages) = job.progress_ops(&self.me, (budget - mutations.len()).min(4));
+            let (c, o, pages) = job.progress_ops(&self.label, (budget - mutations.len()).min(4));
             if pages.is_empty() {
                 continue;
             }
@@ -105,7 +106,7 @@
             job.writing = true;
             job.write_after = now + PROGRESS_GAP;
             // Guards against reports that grow without end: while new pages kept changing,
-            // nothing of the job was reaped, until its holder could not read all that its
+            // nothing of the job was reaped, until its owner could not read all that its
             // machines reported in time.
             if let Some(ended) = self.unreaped.get_mut(&id) {
                 let stored = |(_, key): &mut (MachineId, AttemptKey)| !job.is_dirty(key.0.index);
@@ -121,7 +122,7 @@
     }
 
     /// Takes in the store's answer to a write.
-    pub fn stored(&mut self, now: Micros, write: Write, reply: &Reply) {
+    pub fn handle_store_reply(&mut self, now: Micros, write: Write, reply: &Reply) {
         match write {
             Write::Ends { ends, reap, .. } => {
                 for (id, standing) in &ends {
@@ -130,7 +131,7 @@
                         && matches!(reply, Reply::Committed(_))
                     {
                         job.ended = true;
-                        tracing::info!(block = %self.block, job = %id, ?standing, "job is over");
+                        tracing::info!(partition = %self.id, job = %id, ?standing, "job is over");
                     }
                 }
                 self.reap(reap, reply);
@@ -197,7 +198,7 @@
             // A job's record never changes while the job lives: it was cancelled, or
             // ended by our own write that had no answer. The watch will take it out;
             // until then nothing of it starts.
-            Reply::Conflict(failed) if failed.contains(&keys::job(id)) => self.cancelled(id),
+            Reply::Conflict(failed) if failed.contains(&keys::job(id)) => self.cancel_job(id),
             // Not carried out, or perhaps late: either way the revisions decide, and the
             // watch tells them.
             _ => {
@@ -230,15 +231,15 @@
     fn change_shards(
         &mut self,
         cache: &WatchCache,
-        mut change: impl FnMut(&MachineId, &mut Machine, &mut super::super::MachineRecord) -> bool,
+        mut change: impl FnMut(&MachineId, &mut Machine, &mut crate::partitions::MachineRecord) -> bool,
         write: impl Fn(Vec<MachineId>) -> Write,
     ) -> Option<Effect> {
         let (mut ids, mut compares, mut mutations, mut bytes) =
-            (vec![], vec![self.own()], vec![], 0);
+            (vec![], vec![self.ownership_compare()], vec![], 0);
         let most = self.settings.max_mutations();
         let value_bytes = self.settings.platform.state.lowest_value_bytes();
-        let mut free = cache.free_shards(self.block);
-        for (n, revision, old) in cache.shards(self.block) {
+        let mut free = cache.free_shards(self.id);
+        for (n, revision, old) in cache.shards(self.id) {
             let oversize = old.is_oversize(value_bytes);
             // What an earlier version wrote under a higher limit is written in parts, and
             // in one transaction: a machine is in one of them at any time.
@@ -274,7 +275,7 @@
             } else {
                 vec![new]
             };
-            let (of_parts, writes) = write_parts(self.block, (n, revision), parts, &mut free);
+            let (of_parts, writes) = write_parts(self.id, (n, revision), parts, &mut free);
             compares.extend(of_parts);
             mutations.extend(writes);
         }
@@ -287,17 +288,17 @@
 
     /// Records machines that were heard for the first time as used, before the
     /// first launch there.
-    pub fn open(&mut self, now: Micros, cache: &WatchCache) -> Option<Effect> {
+    pub fn record_used_machines(&mut self, now: Micros, cache: &WatchCache) -> Option<Effect> {
         let new =
             |m: &Machine| !m.used && m.has_reported && m.release_state == ReleaseState::Active;
-        // Batched: many come up at once, and the mirror may lag behind our own last
+        // Batched: many come up at once, and the cache may lag behind our own last
         // write, so that the next one would fail as fast as the store can answer.
         if self.writing_machines || now.since(self.last_open) < OPEN_GAP || !self.to_open {
             return None;
         }
         self.last_open = now;
         self.to_open = false;
-        let open = |_: &MachineId, m: &mut Machine, rec: &mut super::super::MachineRecord| {
+        let open = |_: &MachineId, m: &mut Machine, rec: &mut crate::partitions::MachineRecord| {
             let opens = new(m) && !rec.used;
             if opens {
                 rec.used = true;
@@ -308,8 +309,8 @@
         self.change_shards(cache, open, Write::Open)
     }
 
-    /// Idle machines that go: to other blocks that lack room, or back.
-    pub fn give_up(
+    /// Idle machines that go: to other partitions that lack room, or back.
+    pub fn release_idle_machines(
         &mut self,
         now: Micros,
         cache: &WatchCache,
@@ -323,13 +324,13 @@
             others.iter().map(|n| (n.clone(), n.count)).collect();
         let (heard, policy) = (self.heard_within(), self.policy.clone());
         // Guards against returning what old jobs will use once they may start: while
-        // the take-over waits for silent machines, nothing is idle by choice.
-        let idle_from = if self.recovery() {
+        // the failover waits for silent machines, nothing is idle by choice.
+        let idle_from = if self.is_recovering() {
             now
         } else {
             self.recovered_at
         };
-        let go = |_: &MachineId, m: &mut Machine, rec: &mut super::super::MachineRecord| {
+        let go = |_: &MachineId, m: &mut Machine, rec: &mut crate::partitions::MachineRecord| {
             if m.release_state == ReleaseState::Indeterminate && m.is_empty() {
                 // Tried before without an answer: again, since it may be done.
                 rec.release_reason = Some(ReleaseReason::Return);
@@ -346,7 +347,7 @@
                 policy.idle_return_ordinary
             };
             // Less than a minute is charged as a minute. Guards against counting it from
-            // each take-over anew: under a roll of restarts nothing was returned.
+            // each failover anew: under a roll of restarts nothing was returned.
             let charged = m.minimum_charge_paid || now.since(m.added_at) >= LEAST_CHARGED;
             if idle >= idle_return && charged {
                 rec.release_reason = Some(ReleaseReason::Return);
@@ -367,11 +368,11 @@
         Some(effect)
     }
 
-    /// The write by which this holder hands the whole block back, if it is not out.
+    /// The write by which this owner hands the whole partition back, if it is not out.
     /// From now on no order leaves. Guards against answers after the next grant: the
-    /// next holder counts a silent worker's lease from there, and our reading of the
+    /// next owner counts a silent worker's lease from there, and our reading of the
     /// grant may come much later.
-    pub fn resign(&mut self, now: Micros) -> Option<(Vec<Compare>, Vec<Mutation>)> {
+    pub fn hand_back(&mut self, now: Micros) -> Option<(Vec<Compare>, Vec<Mutation>)> {
         let out = self.resigning.and_then(|r| r.out);
         if out.is_some_and(|at| now.since(at) < RESIGN_AGAIN) {
             return None;
@@ -385,15 +386,15 @@
     }
 
     /// Asked to be handed back without an answer: it has to be asked again.
-    pub fn resigns(&self) -> bool {
+    pub fn is_being_handed_back(&self) -> bool {
         self.resigning.is_some()
     }
 
     /// Takes in the store's answer to a hand-back.
-    pub fn resigned(&mut self, reply: &Reply) {
+    pub fn handle_hand_back_reply(&mut self, reply: &Reply) {
         let Some(r) = &mut self.resigning else { return };
         match reply {
-            // Somebody else's already, or soon: the watch will take the block out.
+            // Somebody else's already, or soon: the watch will take the partition out.
             Reply::Committed(_) | Reply::Conflict(_) => {}
             // Surely not carried out, and nothing before it can be: it stays ours.
             Reply::Rejected if !r.unsure => self.resigning = None,
@@ -409,14 +410,14 @@
             .map(|t| self.settings.platform.teams[*t].name.clone())
             .collect();
         let rec = PartitionOwnerRecord {
-            owner: self.me.clone(),
+            owner: self.label.clone(),
             incarnation: Revision(0),
             term: self.term,
             teams,
         };
         (
-            vec![self.own()],
-            vec![store::put(keys::partition_owner(self.block), &rec)],
+            vec![self.ownership_compare()],
+            vec![store::put(keys::partition_owner(self.id), &rec)],
         )
     }
 }
--- a/src/partitions/owner/starts.rs
+++ b/src/partition_owner/starts.rs
@@ -9,7 +9,7 @@
 
 /// After an attempt to connect failed.
 pub(super) const DIRECT_AGAIN: Micros = Micros::from_millis(1_000);
-/// Passes over the block come no faster than this, and later the more they cost.
+/// Passes over the partition come no faster than this, and later the more they cost.
 const PASS_GAP: Micros = Micros::from_millis(40);
 const PASS_COST_US: u64 = 2;
 /// This bounds one pass.
@@ -22,9 +22,9 @@
 const MOST_DIRECTS: usize = 48;
 
 impl OwnedPartition {
-    /// Decides over the whole block what to start, if anything changed.
+    /// Decides over the whole partition what to start, if anything changed.
     pub(super) fn decide(&mut self, now: Micros, wall_clock: Micros, fleet: Resources) {
-        if !self.pass_pending || now < self.next_pass || self.resigns() {
+        if !self.pass_pending || now < self.next_pass || self.is_being_handed_back() {
             return;
         }
         self.pass_pending = false;
@@ -117,13 +117,13 @@
                 r.count = r.count.saturating_sub(1);
             }
             m.reserved.retain(|r| r.count > 0 && r.until > now);
-            tracing::debug!(block = %self.block, term = %self.term, job = %c.job, task = c.index, %attempt, machine = %c.machine, "start");
+            tracing::debug!(partition = %self.id, term = %self.term, job = %c.job, task = c.index, %attempt, machine = %c.machine, "start");
             let task = TaskId {
                 job: c.job,
                 index: c.index,
             };
             m.attempts.insert((task, attempt), t);
-            self.reweigh(&c.machine);
+            self.update_usage(&c.machine);
             if tell {
                 self.pending_commands.insert(c.machine);
             }
@@ -139,7 +139,7 @@
                 continue;
             };
             for (key, leeway_s) in &s.victims {
-                tracing::debug!(block = %self.block, task = %key.0, attempt = %key.1, r#for = %s.reserve.job, "preempt");
+                tracing::debug!(partition = %self.id, task = %key.0, attempt = %key.1, r#for = %s.reserve.job, "preempt");
                 m.stop(*leeway_s, |k| k == key);
             }
             self.pending_commands.insert(s.machine.clone());
@@ -155,9 +155,9 @@
 
     /// Commands to be sent straight to machines: what no answer carried, and the
     /// token to machines that have not seen it. A bounded number is out at a time.
-    pub fn directs(&mut self, now: Micros) -> Vec<Effect> {
+    pub fn take_direct_commands(&mut self, now: Micros) -> Vec<Effect> {
         let mut out = Vec::new();
-        if self.resigns() {
+        if self.is_being_handed_back() {
             return out;
         }
         let heard_within = self.heard_within();
--- a/src/partitions/owner/tests.rs
+++ b/src/partition_owner/tests.rs
@@ -15,7 +15,7 @@
 
 /// The store's newest word on a key.
 fn told(cache: &mut WatchCache, key: String, value: serde_json::Value, revision: u64) {
-    cache.change(WatchEvent {
+    cache.apply_event(WatchEvent {
         set: Some(key),
         delete: None,
         value,
@@ -41,7 +41,7 @@
 }
 
 impl Bench {
-    /// A holder of one block with one machine that has nothing to do.
+    /// An owner of one partition with one machine that has nothing to do.
     fn new() -> Bench {
         let settings = Rc::new(settings());
         let grant = PartitionOwnerRecord {
@@ -56,7 +56,7 @@
         let now = secs(1.0);
         let mut h =
             OwnedPartition::new(PartitionId(0), &grant, Revision(4), &settings, &policy, now);
-        h.take_over(now, &cache, &types());
+        h.fail_over(now, &cache, &types());
         Bench {
             h,
             cache,
@@ -69,30 +69,31 @@
         let token = FencingToken::of(Term(3), 0);
         let r = report("m-1", 1, self.sequence, token, &[]);
         let fleet = Resources::new(16.0, 0.0, 64.0);
-        self.h.check_in(now, now, fleet, now + secs(9.0), &r);
+        self.h
+            .handle_heartbeat(now, now, fleet, now + secs(9.0), &r);
         self.h.tick(now, now, fleet);
     }
 
-    fn give_up(&mut self, now: Micros) -> Option<Write> {
-        match self.h.give_up(now, &self.cache, &[], &[])? {
+    fn release_idle_machines(&mut self, now: Micros) -> Option<Write> {
+        match self.h.release_idle_machines(now, &self.cache, &[], &[])? {
             Effect::CompareAndSwap(write, ..) => Some(write),
             _ => None,
         }
     }
 }
 
-/// Seen as 495 healthy machines returned within ten seconds by a holder that had more
+/// Seen as 495 healthy machines returned within ten seconds by an owner that had more
 /// reports to read than its processor share allows.
 #[test]
-fn a_holder_that_falls_behind_takes_no_machine_for_dead() {
+fn a_owner_that_falls_behind_takes_no_machine_for_dead() {
     let mut b = Bench::new();
     shard(&mut b.cache, &["m-1", "m-2"], 6);
-    b.h.sync_shard(secs(1.0), 0, &b.cache, &types(), false);
+    b.h.reconcile_shard(secs(1.0), 0, &b.cache, &types(), false);
     let fleet = Resources::new(32.0, 0.0, 128.0);
     let both = |b: &mut Bench, now: Micros| {
         b.report(now);
         let r = report("m-2", 1, b.sequence, FencingToken::of(Term(3), 0), &[]);
-        b.h.check_in(now, now, fleet, now + secs(9.0), &r);
+        b.h.handle_heartbeat(now, now, fleet, now + secs(9.0), &r);
     };
     for s in [2.0, 4.0] {
         both(&mut b, secs(s));
@@ -104,7 +105,7 @@
             now += between_ticks;
             b.report(secs(now));
         }
-        b.h.dead(secs(now))
+        b.h.releasable_machines(secs(now))
     };
     assert!(
         silent_for(&mut b, 4.0, 0.6).is_empty(),
@@ -125,24 +126,26 @@
     for s in [2.0, 4.0, 100.0] {
         b.report(secs(s));
     }
-    let first = b.give_up(secs(100.0)).expect("idle, so it goes");
-    b.h.stored(secs(102.5), first, &Reply::Indeterminate);
+    let first = b
+        .release_idle_machines(secs(100.0))
+        .expect("idle, so it goes");
+    b.h.handle_store_reply(secs(102.5), first, &Reply::Indeterminate);
     b.report(secs(102.5));
-    let second = b.give_up(secs(103.0)).expect("once more");
+    let second = b.release_idle_machines(secs(103.0)).expect("once more");
     // While that is out, somebody else changes the shard: both have failed.
     shard(&mut b.cache, &["m-1", "m-2"], 6);
-    b.h.sync_shard(secs(103.5), 0, &b.cache, &types(), false);
+    b.h.reconcile_shard(secs(103.5), 0, &b.cache, &types(), false);
     let job = serde_json::to_value(rec("j-1", 1, Term(3))).expect("a record");
     told(&mut b.cache, keys::job(&"j-1".into()), job, 7);
-    b.h.sync_job(&"j-1".into(), &b.cache);
+    b.h.reconcile_job(&"j-1".into(), &b.cache);
     b.report(secs(104.0));
     assert_eq!(
         b.h.machines[&"m-1".into()].attempts.len(),
         1,
         "in use again"
     );
-    b.h.stored(secs(105.5), second, &Reply::Indeterminate);
-    assert_eq!(b.give_up(secs(106.0)), None);
+    b.h.handle_store_reply(secs(105.5), second, &Reply::Indeterminate);
+    assert_eq!(b.release_idle_machines(secs(106.0)), None);
     assert_eq!(
         b.h.machines[&"m-1".into()].release_state,
         ReleaseState::Active
@@ -152,7 +155,7 @@
 /// While an earlier version leads, nobody else splits what that one has filled up to the
 /// higher limit.
 #[test]
-fn a_shard_that_is_too_large_is_split_by_its_holder_when_it_changes_a_machine_there() {
+fn a_shard_that_is_too_large_is_split_by_its_owner_when_it_changes_a_machine_there() {
     let mut bench = Bench::new();
     let settings = Rc::make_mut(&mut bench.h.settings);
     settings.platform.state.next = Some(crate::settings::NextStateLimits {
@@ -171,7 +174,9 @@
     let used = keys::shard(PartitionId(0), 1);
     told(&mut bench.cache, used.clone(), serde_json::json!({}), 8);
     let now = secs(2.0);
-    bench.h.sync_shard(now, 0, &bench.cache, &types(), false);
+    bench
+        .h
+        .reconcile_shard(now, 0, &bench.cache, &types(), false);
     for s in [2.5, 4.0] {
         bench.report(secs(s));
     }
@@ -182,7 +187,7 @@
         .expect("a machine")
         .used = false;
     bench.h.to_open = true;
-    let opened = bench.h.open(secs(5.0), &bench.cache);
+    let opened = bench.h.record_used_machines(secs(5.0), &bench.cache);
     let Some(Effect::CompareAndSwap(Write::Open(ids), compares, mutations)) = opened else {
         panic!("{opened:?}");
     };
@@ -192,7 +197,7 @@
         "{} changes",
         mutations.len()
     );
-    // Conditional on the holder, on the shard as it was, and on numbers that are free.
+    // Conditional on the owner, on the shard as it was, and on numbers that are free.
     assert_eq!(compares[1], crate::store::compare(key, Revision(7)));
     assert!(
         compares[2..]
@@ -216,7 +221,7 @@
 fn zoned(state: &str) -> Bench {
     let mut b = Bench::new();
     shard(&mut b.cache, &["m-1", "m-2"], 6);
-    b.h.sync_shard(secs(1.0), 0, &b.cache, &types(), false);
+    b.h.reconcile_shard(secs(1.0), 0, &b.cache, &types(), false);
     let on = Subsystems::parse("[zone-failover]\nenabled = true", &settings()).expect("a file");
     let zone = serde_json::json!({"state": state, "epoch": 1, "since": 0, "relapses": 1});
     let zone = serde_json::from_value(zone).expect("a zone's record");
@@ -226,14 +231,14 @@
         patience: secs(30.0),
     });
     let config = on.zone_failover.expect("on");
-    b.h.set_zones(secs(1.0), &config, &situation);
+    b.h.update_zones(secs(1.0), &config, &situation);
     let r = report("m-2", 1, 1, FencingToken::of(Term(3), 0), &[]);
-    b.h.check_in(secs(1.0), secs(1.0), Resources::default(), secs(9.0), &r);
+    b.h.handle_heartbeat(secs(1.0), secs(1.0), Resources::default(), secs(9.0), &r);
     b
 }
 
 #[test]
-fn a_holder_that_hears_nobody_says_nothing_of_zones() {
+fn a_owner_that_hears_nobody_says_nothing_of_zones() {
     let mut b = zoned("suspect");
     for n in 10..120 {
         b.report(secs(f64::from(n) * 0.1));
@@ -254,7 +259,7 @@
     for n in 10..240 {
         let now = secs(f64::from(n) * 0.1);
         b.report(now);
-        if !b.h.dead(now).is_empty() {
+        if !b.h.releasable_machines(now).is_empty() {
             returned_at = returned_at.or(Some(now));
         }
     }
--- a/src/partitions/owner/zones.rs
+++ b/src/partition_owner/zones.rs
@@ -1,10 +1,10 @@
-//! Zones in a holder's block: what it sees of them, giving up silent machines of lost ones
+//! Zones in an owner's partition: what it sees of them, giving up silent machines of lost ones
 //! in waves, and moving running work home.
 
 use super::OwnedPartition;
 use crate::clock::Micros;
+use crate::cloud::MachineType;
 use crate::fairness::Resources;
-use crate::fleet::MachineType;
 use crate::ids::{JobId, MachineId, ZoneId};
 use crate::jobs::{Job, JobDesc};
 use crate::placement;
@@ -21,7 +21,7 @@
 const SILENT_REPORTS: f64 = 1.4;
 /// Shorter than this may be a busy moment.
 const LEAST_SILENCE: Micros = Micros::from_millis(3_000);
-/// A machine that has not reported since a take-over has to find its way here first.
+/// A machine that has not reported since a failover has to find its way here first.
 const LEAST_SILENCE_AFTER_TAKE_OVER: Micros = Micros::from_millis(5_000);
 /// Between two looks at running work that may be moved home.
 const MOVE_EVERY: Micros = Micros::from_millis(5_000);
@@ -30,7 +30,7 @@
 /// Stopping and starting once more costs so much besides saving and fetching the image.
 const RESTART_S: f64 = 2.0;
 
-/// What a holder sees of a zone.
+/// What an owner sees of a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct MachineCounts {
     /// Machines that have been up.
@@ -49,14 +49,14 @@
 
 impl OwnedPartition {
     /// Turns zone failover on, and tells how the zones stand.
-    pub fn set_zones(
+    pub fn update_zones(
         &mut self,
         now: Micros,
         config: &Rc<ZoneFailoverConfig>,
         situation: &Rc<ZoneSituation>,
     ) {
         let evacuation = self
-            .zones
+            .zone_evacuation
             .get_or_insert_with(|| ZoneEvacuation::new(config.clone()));
         if !Rc::ptr_eq(&evacuation.situation, situation) {
             // Zones open and close for work that waits.
@@ -68,12 +68,12 @@
     /// Whether a machine's zone is lost: what boots there may not come up.
     pub(super) fn is_in_lost_zone(&self, m: &Machine) -> bool {
         let state = |evacuation: &ZoneEvacuation| evacuation.situation.state(&m.zone);
-        self.zones.as_ref().map(state) == Some(ZoneState::Lost)
+        self.zone_evacuation.as_ref().map(state) == Some(ZoneState::Lost)
     }
 
     /// Waiting tasks that may run nowhere but in a lost zone.
     pub(super) fn bound_to_lost_zones(&self) -> u32 {
-        let Some(evacuation) = &self.zones else {
+        let Some(evacuation) = &self.zone_evacuation else {
             return 0;
         };
         let is_lost = |zone: &String| evacuation.situation.state(zone) == ZoneState::Lost;
@@ -101,7 +101,7 @@
 
     /// Whether silence says something about machines: not if it may be our own.
     fn can_tell_of_zones(&self, now: Micros) -> bool {
-        let listens = now.since(self.listening.max(self.granted)) > self.longest_gap();
+        let listens = now.since(self.listening.max(self.granted_at)) > self.longest_gap();
         let hears = now.since(self.last_report) < LEAST_SILENCE;
         listens && (hears || self.machines.is_empty())
     }
@@ -112,7 +112,7 @@
         if !self.can_tell_of_zones(now) {
             return counts;
         }
-        let Some(evacuation) = &self.zones else {
+        let Some(evacuation) = &self.zone_evacuation else {
             return counts;
         };
         for zone in evacuation.situation.lost().into_keys() {
@@ -137,15 +137,15 @@
 
     /// An attempt of a job was lost with a machine.
     pub(super) fn displace(&mut self, job: &JobId, zone: &str) {
-        if let Some(evacuation) = &mut self.zones {
+        if let Some(evacuation) = &mut self.zone_evacuation {
             evacuation.displace(job, zone);
         }
     }
 
-    /// Machines of which nothing is known since a take-over are silent with their zone: any
-    /// job that an earlier holder may have started there may have lost an attempt.
+    /// Machines of which nothing is known since a failover are silent with their zone: any
+    /// job that an earlier owner may have started there may have lost an attempt.
     fn displace_unconfirmed(&mut self) {
-        let (Some(evacuation), Some(recovery)) = (&mut self.zones, &self.recovery) else {
+        let (Some(evacuation), Some(recovery)) = (&mut self.zone_evacuation, &self.recovery) else {
             return;
         };
         for kind in &recovery.silent {
@@ -165,13 +165,13 @@
 
     /// What time and the leader's waves change.
     pub(super) fn look_at_zones(&mut self, now: Micros, wall_clock: Micros, fleet: Resources) {
-        if self.zones.is_none() {
+        if self.zone_evacuation.is_none() {
             return;
         }
         self.displace_unconfirmed();
         let silent = self.silent_of_lost(now, wall_clock);
         let down = self.zones_down(now);
-        if let Some(evacuation) = &mut self.zones {
+        if let Some(evacuation) = &mut self.zone_evacuation {
             evacuation.forget(now, &self.jobs);
             evacuation.observe(now, &down);
             evacuation.advance(wall_clock, silent, &self.jobs);
@@ -182,9 +182,9 @@
         }
     }
 
-    /// The zones that are down as far as this holder sees; none if all of them are.
+    /// The zones that are down as far as this owner sees; none if all of them are.
     fn zones_down(&self, now: Micros) -> BTreeSet<ZoneId> {
-        let Some(evacuation) = &self.zones else {
+        let Some(evacuation) = &self.zone_evacuation else {
             return BTreeSet::new();
         };
         let counts = self.zone_counts(now);
@@ -215,7 +215,7 @@
         wall_clock: Micros,
     ) -> BTreeMap<ZoneId, Vec<SilentMachine>> {
         let mut silent: BTreeMap<ZoneId, Vec<SilentMachine>> = BTreeMap::new();
-        let Some(evacuation) = &self.zones else {
+        let Some(evacuation) = &self.zone_evacuation else {
             return silent;
         };
         let lost = evacuation.situation.lost();
@@ -249,11 +249,11 @@
 
     /// Stops running tasks elsewhere for which there is room in their zone again.
     fn move_home(&mut self, now: Micros, wall_clock: Micros, fleet: Resources) {
-        let Some(evacuation) = &self.zones else {
+        let Some(evacuation) = &self.zone_evacuation else {
             return;
         };
         let settings = &evacuation.config.settings.homecoming;
-        if !settings.move_running || self.resigns() || !settings.is_open(wall_clock) {
+        if !settings.move_running || self.is_being_handed_back() || !settings.is_open(wall_clock) {
             return;
         }
         let period = settings.period;
@@ -288,7 +288,7 @@
         fleet: Resources,
         back: &[ZoneId],
     ) -> Vec<Homeward> {
-        let Some(evacuation) = &self.zones else {
+        let Some(evacuation) = &self.zone_evacuation else {
             return Vec::new();
         };
         let snapshot = self.snapshot(now, wall_clock, fleet);
@@ -399,10 +399,10 @@
                 }),
             }
         }
-        if let Some(evacuation) = &mut self.zones {
+        if let Some(evacuation) = &mut self.zone_evacuation {
             evacuation.moves(now, key.clone(), team);
         }
-        tracing::info!(block = %self.block, task = %key.0, %from, %home, "zone: moving a running task home");
+        tracing::info!(partition = %self.id, task = %key.0, %from, %home, "zone: moving a running task home");
     }
 }
 
--- a/src/partitions/lease.rs
+++ b/src/partitions/lease.rs
@@ -30,7 +30,7 @@
     }
 
     /// What to ask the store now to keep the lease up.
-    pub fn step(&mut self, now: Micros) -> Option<Request> {
+    pub fn next_request(&mut self, now: Micros) -> Option<Request> {
         if self.out.is_some() || now < self.not_before {
             return None;
         }
@@ -42,7 +42,7 @@
     }
 
     /// Takes in the store's answer.
-    pub fn reply(&mut self, now: Micros, reply: &Reply) {
+    pub fn handle_reply(&mut self, now: Micros, reply: &Reply) {
         let sent = self.out.take().unwrap_or(now);
         self.not_before = now + AGAIN;
         match reply {
@@ -63,7 +63,7 @@
     }
 
     /// The lease, if it has surely not ended yet.
-    pub fn alive(&self, now: Micros) -> Option<LeaseId> {
+    pub fn valid_lease_id(&self, now: Micros) -> Option<LeaseId> {
         self.lease_id
             .filter(|_| now.since(self.renewed) < Micros(self.life.0 * 3 / 4))
     }
--- a/src/partitions/membership.rs
+++ b/src/partitions/membership.rs
@@ -52,7 +52,7 @@
     }
 
     /// What to ask the store now, if anything.
-    pub fn step(&mut self, now: Micros) -> Option<Request> {
+    pub fn next_request(&mut self, now: Micros) -> Option<Request> {
         if self.out.is_some() || now < self.not_before {
             return None;
         }
@@ -85,7 +85,7 @@
     }
 
     /// Takes in the store's answer.
-    pub fn reply(&mut self, now: Micros, reply: &Reply) {
+    pub fn handle_reply(&mut self, now: Micros, reply: &Reply) {
         let sent = self.out.take().unwrap_or(now);
         self.not_before = now;
         self.state = match (&self.state, reply) {
@@ -153,10 +153,10 @@
         }
     }
 
-    /// Until when this controller may act for its blocks. `read` is when the
+    /// Until when this controller may act for its partitions. `read` is when the
     /// newest reading of the changes was asked for: whoever renews but does not
     /// hear of cancellations must stop as well.
-    pub fn acts_until(&self, read: Micros) -> Micros {
+    pub fn may_act_until(&self, read: Micros) -> Micros {
         match self.state {
             State::In { renewed, .. } => renewed.min(read) + self.lease_validity,
             _ => Micros::ZERO,
--- a/src/partitions/membership/tests.rs
+++ b/src/partitions/membership/tests.rs
@@ -11,20 +11,20 @@
 }
 
 fn join(m: &mut Membership, now: Micros) {
-    m.step(now).expect("a look");
-    m.reply(now, &Reply::NotFound);
-    m.step(now).expect("a lease");
-    m.reply(now, &Reply::LeaseGranted(LeaseId(7)));
-    m.step(now).expect("a registration");
-    m.reply(now, &Reply::Committed(Revision(42)));
+    m.next_request(now).expect("a look");
+    m.handle_reply(now, &Reply::NotFound);
+    m.next_request(now).expect("a lease");
+    m.handle_reply(now, &Reply::LeaseGranted(LeaseId(7)));
+    m.next_request(now).expect("a registration");
+    m.handle_reply(now, &Reply::Committed(Revision(42)));
 }
 
 #[test]
 fn a_restart_under_the_same_label_ends_the_old_lease_and_waits_for_nobody() {
     let mut m = member();
-    m.step(Micros(1));
+    m.next_request(Micros(1));
     let value = serde_json::json!({"addr": "a:1", "tenure": 3});
-    m.reply(
+    m.handle_reply(
         Micros(2),
         &Reply::Value(KeyValue {
             key: "r/members/c0".into(),
@@ -33,12 +33,12 @@
         }),
     );
     assert_eq!(
-        m.step(Micros(3)),
+        m.next_request(Micros(3)),
         Some(Request::RevokeLease {
             lease_id: LeaseId(3)
         })
     );
-    m.reply(Micros(4), &Reply::Acknowledged);
+    m.handle_reply(Micros(4), &Reply::Acknowledged);
     join(&mut m, Micros(5));
     assert_eq!(m.incarnation(), Some(Revision(42)));
 }
@@ -48,16 +48,16 @@
     let mut m = member();
     let t = Micros::from_secs(1.0);
     join(&mut m, t);
-    assert_eq!(m.acts_until(t), Micros::from_secs(12.0));
-    m.step(Micros::from_secs(5.0));
-    m.reply(Micros::from_secs(7.0), &Reply::Acknowledged);
+    assert_eq!(m.may_act_until(t), Micros::from_secs(12.0));
+    m.next_request(Micros::from_secs(5.0));
+    m.handle_reply(Micros::from_secs(7.0), &Reply::Acknowledged);
     assert_eq!(
-        m.acts_until(Micros::from_secs(30.0)),
+        m.may_act_until(Micros::from_secs(30.0)),
         Micros::from_secs(16.0)
     );
     // Without a reading of the changes, the renewal does not help.
     assert_eq!(
-        m.acts_until(Micros::from_secs(2.0)),
+        m.may_act_until(Micros::from_secs(2.0)),
         Micros::from_secs(13.0)
     );
 }
@@ -67,16 +67,16 @@
     let mut m = member();
     let t = Micros::from_secs(1.0);
     join(&mut m, t);
-    m.step(Micros::from_secs(5.0));
-    m.reply(Micros::from_secs(7.0), &Reply::Indeterminate);
+    m.next_request(Micros::from_secs(5.0));
+    m.handle_reply(Micros::from_secs(7.0), &Reply::Indeterminate);
     assert_eq!(
-        m.acts_until(Micros::from_secs(30.0)),
+        m.may_act_until(Micros::from_secs(30.0)),
         Micros::from_secs(12.0)
     );
-    m.step(Micros::from_secs(8.0)).expect("again");
-    m.reply(Micros::from_secs(8.0), &Reply::LeaseExpired);
+    m.next_request(Micros::from_secs(8.0)).expect("again");
+    m.handle_reply(Micros::from_secs(8.0), &Reply::LeaseExpired);
     assert_eq!(
-        (m.incarnation(), m.acts_until(Micros::from_secs(8.0))),
+        (m.incarnation(), m.may_act_until(Micros::from_secs(8.0))),
         (None, Micros::ZERO)
     );
 }
