--- a/src/partitions/mod.rs
+++ b/src/partitions/mod.rs
@@ -1,9 +1,7 @@
-//! Blocks of machines: who leads, who holds which block, under which term.
+//! Partitions of machines: who leads, who holds which partition, under which term.
 
-pub mod leader;
 pub mod lease;
 pub mod membership;
-pub mod owner;
 
 use crate::ids::{Label, LeaseId, MachineId, PartitionId, Revision, Term};
 use crate::store::{self, Compare, Mutation, compare, keys};
@@ -62,36 +60,36 @@
     /// The leader's label.
     #[serde(rename = "holder")]
     pub leader: Label,
-    /// Of the holder, by its member key's revision: names given out under one
+    /// Of the owner, by its member key's revision: names given out under one
     /// leadership are never used by the next, even of the same controller.
     pub incarnation: Revision,
 }
 
-/// Who holds a block. Valid while that incarnation's member lease lives.
+/// Who holds a partition. Valid while that incarnation's member lease lives.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PartitionOwnerRecord {
-    /// The holder's label.
+    /// The owner's label.
     #[serde(rename = "holder")]
     pub owner: Label,
     /// Revision 0: handed back, nobody holds it.
     pub incarnation: Revision,
     /// The term of the grant.
     pub term: Term,
-    /// The teams whose jobs belong to the block.
+    /// The teams whose jobs belong to the partition.
     pub teams: Vec<String>,
 }
 
-/// What a holder wants done with a machine that it gave up, idle.
+/// What an owner wants done with a machine that it gave up, idle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ReleaseReason {
-    /// To another block.
+    /// To another partition.
     Move,
     /// Back to the cloud.
     Return,
 }
 
-/// A machine of a block.
+/// A machine of a partition.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
     /// Learnt from its reports, and recorded when it is first used.
@@ -106,14 +104,14 @@
     /// Whether the cloud may take it back.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// The machine's own term; the block's counts if that is higher.
+    /// The machine's own term; the partition's counts if that is higher.
     #[serde(rename = "t")]
     pub term: Term,
     /// Set before anything is launched on it: a successor knows then that a
     /// machine without it is blank, and need not wait for its report.
     #[serde(rename = "u", default, skip_serializing_if = "std::ops::Not::not")]
     pub used: bool,
-    /// Given up by its holder, and what for.
+    /// Given up by its owner, and what for.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub release_reason: Option<ReleaseReason>,
 }
@@ -138,7 +136,7 @@
     }
 }
 
-/// A shard of a block's machines.
+/// A shard of a partition's machines.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct MachinesRecord(pub BTreeMap<MachineId, MachineRecord>);
@@ -178,9 +176,9 @@
     }
 }
 
-/// Writes a shard of a block in parts: the first in its place, the others under free numbers.
+/// Writes a shard of a partition in parts: the first in its place, the others under free numbers.
 pub fn write_parts(
-    block: PartitionId,
+    partition: PartitionId,
     (shard, revision): (u32, Revision),
     parts: Vec<MachinesRecord>,
     free: impl Iterator<Item = u32>,
@@ -189,7 +187,7 @@
     let places = std::iter::once((shard, revision)).chain(further);
     let (mut compares, mut mutations) = (Vec::new(), Vec::new());
     for ((number, revision), part) in places.zip(parts) {
-        let key = keys::shard(block, number);
+        let key = keys::shard(partition, number);
         compares.push(compare(key.clone(), revision));
         mutations.push(store::put(key, &part));
     }
@@ -203,21 +201,3 @@
 
 /// One part in so many of a value stays free, since sizes are estimates.
 const SPARE_PART: usize = 8;
-
-/// A rental that was decided, recorded before the cloud is asked: a successor
-/// repeats it under the same name instead of renting again.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ScaleOutRecord {
-    /// The type of the machines.
-    #[serde(rename = "build")]
-    pub machine_type: String,
-    /// Their zone.
-    pub zone: String,
-    /// Whether the cloud may take them back.
-    pub spot: bool,
-    /// How many.
-    pub count: u32,
-    /// The block that they are for.
-    #[serde(rename = "block")]
-    pub partition: PartitionId,
-}
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -66,14 +66,14 @@
     kinds: Vec<Kind<'a>>,
     /// The most that any machine has free.
     pub(super) most: Resources,
-    /// Room is held only by passes that see the whole block.
+    /// Room is held only by passes that see the whole partition.
     pub(super) whole: bool,
     /// Machines compared with a class so far: what a pass costs.
     pub machines_compared: usize,
 }
 
 impl<'a> CandidateMachines<'a> {
-    /// All machines of the block that can be used now.
+    /// All machines of the partition that can be used now.
     pub fn whole(snapshot: &SchedulingSnapshot<'a>) -> Self {
         let usable = |m: &&Machine| usable(m, snapshot.now, snapshot.heartbeat_timeout);
         let rooms = snapshot.machines.iter().filter(|(_, m)| usable(m));
--- a/src/placement/capacity_requests.rs
+++ b/src/placement/capacity_requests.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// The room that the block's waiting work still lacks, after what is booting.
+/// The room that the partition's waiting work still lacks, after what is booting.
 pub fn needs(
     snapshot: &SchedulingSnapshot<'_>,
     coming: &[PendingMachines<'_>],
--- a/src/placement/constrained.rs
+++ b/src/placement/constrained.rs
@@ -7,8 +7,8 @@
 
 use super::{Queues, SchedulingSnapshot};
 use crate::clock::Micros;
+use crate::cloud::MachineType;
 use crate::fairness::Resources;
-use crate::fleet::MachineType;
 use crate::jobs::{Job, JobDesc, allows_build};
 
 /// Waiting classes that fit only some types of machines.
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -61,21 +61,21 @@
 pub struct SchedulingSnapshot<'a> {
     /// The platform's settings.
     pub settings: &'a Settings,
-    /// All machines of all blocks.
+    /// All machines of all partitions.
     pub fleet: Resources,
     /// The steady clock.
     pub now: Micros,
     /// The time of day.
     pub wall_clock: Micros,
-    /// The block's jobs.
+    /// The partition's jobs.
     pub jobs: &'a BTreeMap<JobId, Job>,
-    /// The block's machines.
+    /// The partition's machines.
     pub machines: &'a BTreeMap<MachineId, Machine>,
-    /// The block's teams.
+    /// The partition's teams.
     pub teams: &'a [usize],
     /// The teams' sums.
     pub usage: &'a UsageByTeam,
-    /// The term of a take-over that is not complete yet.
+    /// The term of a failover that is not complete yet.
     pub recovery: Option<&'a FailoverRecovery>,
     /// A machine silent for longer gets no new work.
     pub heartbeat_timeout: Micros,
@@ -129,7 +129,7 @@
         && !m.is_unreachable()
 }
 
-/// Machines that are alike and have not reported since a take-over.
+/// Machines that are alike and have not reported since a failover.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SilentMachines {
     /// Their type.
@@ -142,7 +142,7 @@
     pub capacity: Option<Resources>,
 }
 
-/// A take-over that is not complete yet.
+/// A failover that is not complete yet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FailoverRecovery {
     /// The term of the grant.
@@ -155,7 +155,7 @@
 
 impl FailoverRecovery {
     /// Whether an attempt of a job may be on a machine that is still silent. One that no
-    /// earlier holder can have begun has no old attempts; another only where it fits.
+    /// earlier owner can have begun has no old attempts; another only where it fits.
     fn may_hold(&self, job: &Job) -> bool {
         job.may_have_begun_before(self.term, self.granted)
             && self.silent.iter().any(|m| {
@@ -167,8 +167,8 @@
 
 /// Whether a job's tasks may be launched at all now.
 pub fn launchable(job: &Job, now: Micros, recovery: Option<&FailoverRecovery>) -> bool {
-    // Guards against a task on two machines: while some of the block have not reported
-    // since the take-over, an old job's tasks may run there.
+    // Guards against a task on two machines: while some of the partition have not reported
+    // since the failover, an old job's tasks may run there.
     let old = recovery.is_some_and(|r| r.may_hold(job));
     !old && job.wants_machines() && now >= job.not_before
 }
--- a/src/placement/preempt.rs
+++ b/src/placement/preempt.rs
@@ -127,7 +127,7 @@
         return PreemptionPlan::default();
     }
     // Guards against walks over all machines for work that may stop nothing there: with
-    // the fleet full they took most of the holder's processor time, until it could not
+    // the fleet full they took most of the owner's processor time, until it could not
     // read its machines' reports.
     let lowest = lowest_running(snapshot);
     jobs.retain(|(_, j)| lowest.is_some_and(|l| l < j.rank()) || guaranteed(snapshot, j));
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -37,7 +37,7 @@
 /// The operators' choices. None of them can weaken a rule.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
-    /// What a block's holder carries: guaranteed cores, for each second between two
+    /// What a partition's owner carries: guaranteed cores, for each second between two
     /// reports of a machine and each whole core of its processor share.
     pub block_load: f64,
     /// How long a spot machine may be idle before it is returned.
@@ -219,10 +219,10 @@
         }
     }
 
-    /// Blocks that the fleet is divided into, at most one per controller. Work can't
-    /// use the room of another block, so only a fleet that one holder can't hear is
+    /// Partitions that the fleet is divided into, at most one per controller. Work can't
+    /// use the room of another partition, so only a fleet that one owner can't hear is
     /// divided (measured: see docs/design.md).
-    pub fn blocks(&self, settings: &Settings) -> u64 {
+    pub fn partition_count(&self, settings: &Settings) -> u64 {
         let p = &settings.platform;
         let share = p.limits.cpu_share.unwrap_or(1.0);
         let carried = self.block_load * p.workers.report_s * share;
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -78,7 +78,7 @@
         s.platform.teams[1].cpus = cores / 2.0;
         s.platform.workers.report_s = report_s;
         s.platform.limits.cpu_share = Some(share);
-        standard().blocks(&s)
+        standard().partition_count(&s)
     };
     assert_eq!(blocks(320.0, 3.0, 0.06), 1);
     assert_eq!(blocks(7_000.0, 8.0, 0.056), 1);
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -248,7 +248,7 @@
 /// small, this is a part of it.
 const MARGIN_S: f64 = 3.0;
 const MARGIN_PART: f64 = 0.25;
-/// The design's starting length of a block's lease.
+/// The design's starting length of a partition's lease.
 const LEASE_S: f64 = 20.0;
 /// Below this, renewals over a busy store can't keep a lease up.
 const LEAST_LEASE_S: f64 = 2.0;
@@ -256,7 +256,7 @@
 const LEAST_TXN_OPS: usize = 4;
 /// Values below this hold no job's description with its record.
 const LEAST_VALUE_BYTES: usize = 1024;
-/// What each team's name takes in a block's record besides the name, and the rest of that
+/// What each team's name takes in a partition's record besides the name, and the rest of that
 /// record.
 const TEAM_BYTES: usize = 3;
 const HOLDER_BYTES: usize = 256;
@@ -345,7 +345,7 @@
         self.check_next_limits()?;
         self.sockets()?;
         // A cancelled task on a machine that is cut off ends only after both the
-        // holder's and the worker's lease have run out.
+        // owner's and the worker's lease have run out.
         let room = p.workers.cancel_s - p.workers.lease_s;
         if self.raw_lease_s() < LEAST_LEASE_S {
             return fail(format!(
--- a/src/settings/sockets.rs
+++ b/src/settings/sockets.rs
@@ -31,7 +31,7 @@
     /// Connections of users and workers; those beyond are closed at once.
     pub served: usize,
     /// From so many on, a worker's connection is closed with its answer: the rest is
-    /// for users, and for workers that come all at once after a take-over.
+    /// for users, and for workers that come all at once after a failover.
     pub crowded: usize,
     /// New connections that may wait for their first answer at once.
     pub awaited: usize,
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -37,7 +37,7 @@
     let mut s = settings();
     s.platform.workers.cancel_s = 45.0;
     assert!(s.check().is_ok());
-    // 45 - 30.03 - 3: the holder's and the worker's lease both fit.
+    // 45 - 30.03 - 3: the owner's and the worker's lease both fit.
     assert_eq!(s.lease(), Micros(11_970_000));
     s.platform.workers.cancel_s = 32.0;
     assert!(s.check().unwrap_err().contains("no room for a lease"));
@@ -109,7 +109,7 @@
         "state.next.write_rps",
     );
     refused(serde_json::json!({"rps": -5.0}), "state.next.rps");
-    // A block's record names all teams.
+    // A partition's record names all teams.
     let mut v = example();
     v["settings"]["state"]["next"] = serde_json::json!({"value_kb": 2.0});
     for i in 0..100 {
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -2,7 +2,7 @@
 
 use super::{Compare, KeyValue, Mutation, ROOT, Reply, Request, RequestPriority, WatchEvent};
 use crate::clock::{Micros, MonotonicClock};
-use crate::controller::http::{Failure, HttpRequest, Pool};
+use crate::http_client::{Failure, HttpRequest, Pool};
 use crate::ids::{LeaseId, Revision};
 use crate::settings::StateLimits;
 use serde::Deserialize;
@@ -50,7 +50,7 @@
 }
 
 /// A bucket whose rate follows what the others leave: it rises slowly, and falls as soon
-/// as the service refuses a request for its limit. Guards against a holder that may use
+/// as the service refuses a request for its limit. Guards against an owner that may use
 /// only its even share of the changes while the other controllers need almost none.
 #[derive(Debug)]
 pub struct AdaptiveTokenBucket {
@@ -204,7 +204,7 @@
     }
 
     /// Asks, waiting a little for the budget where it is used up.
-    pub async fn ask(&self, request: Request, priority: RequestPriority) -> Reply {
+    pub async fn execute(&self, request: Request, priority: RequestPriority) -> Reply {
         let writes = match &request {
             Request::CompareAndSwap { mutations, .. } => {
                 // It would be refused for its size, now or under the coming limits: it is
@@ -252,7 +252,7 @@
     }
 
     /// Reads everything below the root; none if the store can't be read now.
-    pub async fn load(&self) -> Option<(Vec<KeyValue>, u64)> {
+    pub async fn load_all(&self) -> Option<(Vec<KeyValue>, u64)> {
         let (mut all, mut since, mut first) = (Vec::new(), None, None);
         loop {
             let request = Request::List {
@@ -263,7 +263,7 @@
                 entries: rows,
                 more,
                 revision,
-            } = self.ask(request, RequestPriority::Normal).await
+            } = self.execute(request, RequestPriority::Normal).await
             else {
                 return None;
             };
@@ -279,7 +279,7 @@
     }
 
     /// Waits for a moment for changes after a revision.
-    pub async fn follow(&self, since: u64) -> WatchResponse {
+    pub async fn watch(&self, since: u64) -> WatchResponse {
         if !self.admit(RequestPriority::Critical, 0) {
             return WatchResponse::Failed;
         }
--- a/src/store/client/tests.rs
+++ b/src/store/client/tests.rs
@@ -19,7 +19,7 @@
     assert!(b.take(Micros(800_000), 1.0, 0.1));
 }
 
-/// Seen as jobs of one task that waited for minutes to be recorded as done: their holder
+/// Seen as jobs of one task that waited for minutes to be recorded as done: their owner
 /// used two fifths of the changes, and the other controllers almost none.
 #[test]
 fn the_rate_of_changes_rises_to_what_others_leave_and_falls_when_refused() {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -34,11 +34,11 @@
     pub fn member(label: &Label) -> String {
         format!("r/members/{label}")
     }
-    /// Who holds a block.
+    /// Who holds a partition.
     pub fn partition_owner(b: PartitionId) -> String {
         format!("r/blocks/{b}/holder")
     }
-    /// A block's machines don't fit one value: they are kept in shards.
+    /// A partition's machines don't fit one value: they are kept in shards.
     pub fn shard(b: PartitionId, shard: u32) -> String {
         format!("r/blocks/{b}/machines/{shard}")
     }
@@ -54,7 +54,7 @@
     pub fn ended(id: &JobId) -> String {
         format!("ended/{id}")
     }
-    /// The teams' sums of a controller's blocks.
+    /// The teams' sums of a controller's partitions.
     pub fn team_usage(label: &Label) -> String {
         format!("r/sums/{label}")
     }
--- a/src/watch_cache/mod.rs
+++ b/src/watch_cache/mod.rs
@@ -3,12 +3,12 @@
 //! It may lag. Nothing is decided by it alone: every write names the revisions
 //! that it relies on, so a view that is out of date makes the write fail.
 
-use crate::fleet::MachineType;
+use crate::cloud::{MachineType, ScaleOutRecord};
 use crate::ids::{JobId, Label, MachineId, PartitionId, Revision};
 use crate::jobs::{JobRecord, ProgressRecord};
 use crate::partitions::{
     FormatLevel, FormatRecord, LeaderRecord, MachineRecord, MachinesRecord, MemberRecord,
-    PartitionOwnerRecord, ScaleOutRecord, TermRecord,
+    PartitionOwnerRecord, TermRecord,
 };
 use crate::store::{KeyValue, WatchEvent};
 use serde::de::DeserializeOwned;
@@ -35,12 +35,12 @@
     pub zones: Option<(Revision, Value)>,
     /// The controllers that take part.
     pub members: Table<Label, MemberRecord>,
-    /// Who holds each block.
-    pub holders: Table<PartitionId, PartitionOwnerRecord>,
-    /// Each block's machines, in shards.
-    pub machines: Table<(PartitionId, u32), Rc<MachinesRecord>>,
+    /// Who holds each partition.
+    pub partition_owners: Table<PartitionId, PartitionOwnerRecord>,
+    /// Each partition's machines, in shards.
+    pub machine_shards: Table<(PartitionId, u32), Rc<MachinesRecord>>,
     /// Where each machine is recorded.
-    pub(crate) home: BTreeMap<MachineId, (PartitionId, u32)>,
+    pub(crate) machine_locations: BTreeMap<MachineId, (PartitionId, u32)>,
     /// Jobs that are not over.
     pub jobs: Table<JobId, Rc<JobRecord>>,
     /// Jobs that are not over and whose record can't be read: nothing of them starts, and
@@ -49,19 +49,19 @@
     /// Records that could not be read so far.
     pub unreadable: u64,
     /// Their progress, in pages.
-    pub pages: Table<(JobId, u32), ProgressRecord>,
+    pub progress_pages: Table<(JobId, u32), ProgressRecord>,
     /// Rentals that are not settled.
-    pub rentals: Table<String, ScaleOutRecord>,
+    pub scale_outs: Table<String, ScaleOutRecord>,
     /// The teams' sums, by who wrote them.
-    pub sums: Table<Label, Value>,
+    pub team_usage: Table<Label, Value>,
 }
 
-/// What a change touched, for those who keep more than the mirror does.
+/// What a change touched, for those who keep more than the cache does.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CacheChange {
-    /// Who holds a block.
+    /// Who holds a partition.
     PartitionOwner(PartitionId),
-    /// A shard of a block's machines.
+    /// A shard of a partition's machines.
     Shard(PartitionId, u32),
     /// A job.
     Job(JobId),
@@ -104,7 +104,7 @@
     }
 
     /// Takes one change in.
-    pub fn change(&mut self, c: WatchEvent) -> CacheChange {
+    pub fn apply_event(&mut self, c: WatchEvent) -> CacheChange {
         match (c.set, c.delete) {
             (Some(key), _) => self.apply(&key, Some(c.value), c.revision),
             (None, Some(key)) => self.apply(&key, None, c.revision),
@@ -134,17 +134,17 @@
                 let record = read(key, value, unreadable);
                 put(&mut self.members, Label::from(*label), record, revision);
             }
-            ["r", "sums", label] => put(&mut self.sums, Label::from(*label), value, revision),
+            ["r", "sums", label] => put(&mut self.team_usage, Label::from(*label), value, revision),
             ["r", "hires", name] => {
                 let record = read(key, value, unreadable);
-                put(&mut self.rentals, name.to_string(), record, revision);
+                put(&mut self.scale_outs, name.to_string(), record, revision);
             }
             ["r", "blocks", b, "holder"] => {
                 let Ok(b) = b.parse().map(PartitionId) else {
                     return CacheChange::Other;
                 };
                 let record = read(key, value, unreadable);
-                put(&mut self.holders, b, record, revision);
+                put(&mut self.partition_owners, b, record, revision);
                 return CacheChange::PartitionOwner(b);
             }
             ["r", "blocks", b, "machines", shard] => {
@@ -171,7 +171,12 @@
                 if let Ok(page) = page.parse() {
                     let id = JobId::from(*id);
                     let record = read(key, value, unreadable);
-                    put(&mut self.pages, (id.clone(), page), record, revision);
+                    put(
+                        &mut self.progress_pages,
+                        (id.clone(), page),
+                        record,
+                        revision,
+                    );
                     return CacheChange::ProgressPage(id, page);
                 }
             }
@@ -186,41 +191,42 @@
         record: Option<Rc<MachinesRecord>>,
         revision: Revision,
     ) {
-        if let Some((_, old)) = self.machines.get(&at) {
+        if let Some((_, old)) = self.machine_shards.get(&at) {
             // A machine that moved may be at its new place already.
             for id in old.0.keys() {
-                if self.home.get(id) == Some(&at) {
-                    self.home.remove(id);
+                if self.machine_locations.get(id) == Some(&at) {
+                    self.machine_locations.remove(id);
                 }
             }
         }
-        put(&mut self.machines, at, record, revision);
-        if let Some((_, new)) = self.machines.get(&at) {
-            self.home.extend(new.0.keys().map(|id| (id.clone(), at)));
+        put(&mut self.machine_shards, at, record, revision);
+        if let Some((_, new)) = self.machine_shards.get(&at) {
+            self.machine_locations
+                .extend(new.0.keys().map(|id| (id.clone(), at)));
         }
     }
 
-    /// The revision of a block's holder key, 0 if it has none.
-    pub fn holder_revision(&self, b: PartitionId) -> Revision {
-        self.holders.get(&b).map_or(Revision(0), |h| h.0)
+    /// The revision of a partition's owner key, 0 if it has none.
+    pub fn owner_revision(&self, b: PartitionId) -> Revision {
+        self.partition_owners.get(&b).map_or(Revision(0), |h| h.0)
     }
 
     /// The revision of a shard, 0 if there is none.
     pub fn shard_revision(&self, at: (PartitionId, u32)) -> Revision {
-        self.machines.get(&at).map_or(Revision(0), |m| m.0)
+        self.machine_shards.get(&at).map_or(Revision(0), |m| m.0)
     }
 
-    /// A block's shards, in order.
+    /// A partition's shards, in order.
     pub fn shards(
         &self,
         b: PartitionId,
     ) -> impl Iterator<Item = (u32, Revision, &Rc<MachinesRecord>)> {
-        self.machines
+        self.machine_shards
             .range((b, 0)..=(b, u32::MAX))
             .map(|((_, n), (revision, rec))| (*n, *revision, rec))
     }
 
-    /// The recorded machines of one block.
+    /// The recorded machines of one partition.
     pub fn machines_of(
         &self,
         b: PartitionId,
@@ -228,29 +234,29 @@
         self.shards(b).flat_map(|(_, _, rec)| rec.0.iter())
     }
 
-    /// Every recorded machine of every block.
+    /// Every recorded machine of every partition.
     pub fn all_machines(&self) -> impl Iterator<Item = (PartitionId, &MachineId, &MachineRecord)> {
-        let shards = self.machines.iter();
+        let shards = self.machine_shards.iter();
         shards.flat_map(|((b, _), (_, rec))| rec.0.iter().map(move |(id, m)| (*b, id, m)))
     }
 
     /// Where a machine is recorded, and how.
     pub fn machine(&self, id: &MachineId) -> Option<((PartitionId, u32), &MachineRecord)> {
-        let at = *self.home.get(id)?;
-        let (_, rec) = self.machines.get(&at)?;
+        let at = *self.machine_locations.get(id)?;
+        let (_, rec) = self.machine_shards.get(&at)?;
         Some((at, rec.0.get(id)?))
     }
 
-    /// Whether the incarnation that a block names still has its member lease.
-    pub fn holder_alive(&self, rec: &PartitionOwnerRecord) -> bool {
+    /// Whether the incarnation that a partition names still has its member lease.
+    pub fn is_owner_alive(&self, rec: &PartitionOwnerRecord) -> bool {
         self.members
             .get(&rec.owner)
             .is_some_and(|(revision, _)| *revision == rec.incarnation)
     }
 
-    /// Who handed a block back that nobody has been granted since.
-    pub fn resigned(&self, b: PartitionId) -> Option<&Label> {
-        let (_, rec) = self.holders.get(&b)?;
+    /// Who handed a partition back that nobody has been granted since.
+    pub fn handed_back_by(&self, b: PartitionId) -> Option<&Label> {
+        let (_, rec) = self.partition_owners.get(&b)?;
         (rec.incarnation == Revision(0)).then_some(&rec.owner)
     }
 
@@ -259,21 +265,23 @@
         self.format.map_or_else(Default::default, |(_, r)| r.level)
     }
 
-    /// Numbers of a block's shards that are not in use, in order.
+    /// Numbers of a partition's shards that are not in use, in order.
     pub fn free_shards(&self, b: PartitionId) -> impl Iterator<Item = u32> {
-        (0..u32::MAX).filter(move |n| !self.machines.contains_key(&(b, *n)))
+        (0..u32::MAX).filter(move |n| !self.machine_shards.contains_key(&(b, *n)))
     }
 
     /// A job's progress, with the revisions of its pages.
     pub fn progress(&self, id: &JobId) -> impl Iterator<Item = (u32, Revision, &ProgressRecord)> {
-        let pages = self.pages.range((id.clone(), 0)..=(id.clone(), u32::MAX));
+        let pages = self
+            .progress_pages
+            .range((id.clone(), 0)..=(id.clone(), u32::MAX));
         pages.map(|((_, page), (revision, rec))| (*page, *revision, rec))
     }
 
     /// Progress of jobs that are over, of no use to anyone: some of it.
     pub fn garbage(&self, most: usize) -> Vec<(JobId, u32)> {
         let over = self
-            .pages
+            .progress_pages
             .keys()
             .filter(|(id, _)| !self.jobs.contains_key(id));
         over.take(most).cloned().collect()
--- a/src/watch_cache/tests.rs
+++ b/src/watch_cache/tests.rs
@@ -45,7 +45,7 @@
         m.apply(key, Some(broken.clone()), Revision(n));
         assert_eq!(m.unreadable, n, "{key}");
     }
-    assert!(m.jobs.is_empty() && m.pages.is_empty() && m.machines.is_empty());
+    assert!(m.jobs.is_empty() && m.progress_pages.is_empty() && m.machine_shards.is_empty());
     assert!(m.unreadable_jobs.contains(&job));
     // Gone is not unreadable.
     m.apply("r/jobs/j-1", None, Revision(20));
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,5 +1,5 @@
 //! Machines' workers: what they report, what they are told, and the picture
-//! that a holder keeps of each of its machines.
+//! that an owner keeps of each of its machines.
 
 mod protocol;
 
@@ -122,7 +122,7 @@
 const MOST_UNACKNOWLEDGED: u32 = 3;
 const AVOIDED: Micros = Micros::from_millis(20_000);
 
-/// A holder's picture of one machine.
+/// An owner's picture of one machine.
 #[derive(Debug)]
 pub struct Machine {
     /// Its type.
@@ -143,11 +143,11 @@
     heartbeat_sequence: u64,
     /// Of the last report that did not count, for direct commands until one does.
     last_seen_agent_epoch: u64,
-    /// Held by an earlier holder: nothing is known of it until a report has our token.
+    /// Held by an earlier owner: nothing is known of it until a report has our token.
     pub unconfirmed: bool,
-    /// Since when it is in this holder's hands.
+    /// Since when it is in this owner's hands.
     pub added_at: Micros,
-    /// In use before this holder had it, so it has cost its least already.
+    /// In use before this owner had it, so it has cost its least already.
     pub minimum_charge_paid: bool,
     /// When a report of it counted last, in answers to direct commands, too.
     pub last_heard_at: Option<Micros>,
@@ -196,7 +196,7 @@
     pub used: bool,
     /// No direct command before then.
     pub next_direct_command_at: Micros,
-    /// How often our token was sent to it directly after a take-over.
+    /// How often our token was sent to it directly after a failover.
     pub token_commands: u32,
     /// Since when nothing is on it.
     pub idle_since: Micros,
@@ -204,7 +204,7 @@
     pub reserved: Vec<Reserved>,
     /// The head job that freed room here is held for.
     pub held_for: Option<JobId>,
-    /// What its attempts add up to, as the block's sums have it.
+    /// What its attempts add up to, as the partition's sums have it.
     pub load: Load,
     /// Gigabytes of an image fetched per second.
     pub image_fetch_gb_per_s: f64,
@@ -350,7 +350,7 @@
     }
 
     /// Whether it shows our term: only then does a report count for anything. What
-    /// an earlier holder sent may still have been on its way when an older one was
+    /// an earlier owner sent may still have been on its way when an older one was
     /// made, and a copy of an older one may come at any time.
     pub fn shows_term(&self, r: &Heartbeat) -> bool {
         r.fencing_token >= FencingToken::of(self.term, 0)
@@ -508,7 +508,7 @@
 
     /// From when on its worker's lease may count: an answer that it can have had, or
     /// the start of its session. Both begin with the grant, since until then an earlier
-    /// holder can have answered it.
+    /// owner can have answered it.
     pub fn lease_started_at(&self) -> Micros {
         self.last_answered_at.max(self.agent_epoch_started_at)
     }
--- a/src/zones/evacuation.rs
+++ b/src/zones/evacuation.rs
@@ -1,4 +1,4 @@
-//! What the holder of a block keeps in mind while zones are lost or come home.
+//! What the owner of a partition keeps in mind while zones are lost or come home.
 
 use super::{ZoneFailoverConfig, ZoneSituation};
 use crate::clock::Micros;
@@ -15,7 +15,7 @@
 /// Silent machines of a zone that stays suspect are returned after all.
 const MOST_WITHHELD: Micros = Micros::from_millis(15_000);
 
-/// Silent machines of a zone that only this holder finds down are kept for so long: until
+/// Silent machines of a zone that only this owner finds down are kept for so long: until
 /// the leader has had the time to say what it thinks.
 const MOST_WITHHELD_LOCALLY: Micros = Micros::from_millis(5_000);
 
@@ -29,7 +29,7 @@
     until: Micros,
 }
 
-/// The zones, as the holder of a block deals with them.
+/// The zones, as the owner of a partition deals with them.
 #[derive(Debug)]
 pub struct ZoneEvacuation {
     /// The checked settings.
@@ -43,7 +43,7 @@
     may_give_up: BTreeSet<MachineId>,
     /// Since when a zone is suspect here.
     suspect_since: BTreeMap<ZoneId, Micros>,
-    /// Since when this holder itself finds a zone down.
+    /// Since when this owner itself finds a zone down.
     down_here: BTreeMap<ZoneId, Micros>,
     moves: BTreeMap<AttemptKey, Move>,
 }
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Takes in which zones this holder itself finds down.
+    /// Takes in which zones this owner itself finds down.
     pub fn observe(&mut self, now: Micros, down: &BTreeSet<ZoneId>) {
         self.down_here.retain(|zone, _| down.contains(zone));
         for zone in down {
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -33,7 +33,7 @@
     pub order: EvacuationOrder,
 }
 
-/// How the zones stand, as placement and the blocks' holders may rely on it.
+/// How the zones stand, as placement and the partitions' owners may rely on it.
 #[derive(Debug, PartialEq)]
 pub struct ZoneSituation {
     /// Zones that are not healthy.
