--- a/crates/rockdeal-types/src/clock.rs
+++ b/crates/rockdeal-types/src/clock.rs
@@ -80,7 +80,7 @@
 }
 
 /// The time of day, for records that outlive a process. Never used for leases.
-pub fn time_of_day() -> Micros {
+pub fn wall_clock_now() -> Micros {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    Micros(since.map_or(0, |d| d.as_micros() as u64))
+    Micros(since.map_or(0, |since_epoch| since_epoch.as_micros() as u64))
 }
--- a/crates/rockdeal-types/src/ids.rs
+++ b/crates/rockdeal-types/src/ids.rs
@@ -122,12 +122,16 @@
     }
 }
 
+/// Digits that a job's id has at most.
+const MAX_JOB_DIGITS: usize = 40;
+
 impl JobId {
     /// `j-` and digits, as users choose them.
-    pub fn well_formed(&self) -> bool {
-        self.0
-            .strip_prefix("j-")
-            .is_some_and(|d| (1..=40).contains(&d.len()) && d.bytes().all(|b| b.is_ascii_digit()))
+    pub fn is_well_formed(&self) -> bool {
+        self.0.strip_prefix("j-").is_some_and(|digits| {
+            (1..=MAX_JOB_DIGITS).contains(&digits.len())
+                && digits.bytes().all(|byte| byte.is_ascii_digit())
+        })
     }
 }
 
--- a/crates/zone-failover/src/evacuation.rs
+++ b/crates/zone-failover/src/evacuation.rs
@@ -46,6 +46,13 @@
     pub displaced: Option<EvacuationPriority>,
 }
 
+/// A displaced job with its place among all that wait: the first is the most urgent.
+struct DisplacedEntry<T> {
+    urgency: usize,
+    priority: EvacuationPriority,
+    job: T,
+}
+
 /// Puts the displaced jobs of a team's order, most urgent first, into their stated order.
 ///
 /// - Jobs that are not displaced keep their order.
@@ -55,21 +62,28 @@
 ///   urgent work never waits behind evacuated lower work.
 /// - Beyond that, displaced jobs come as early as they can.
 pub fn merge_displaced<T>(ordered: Vec<Waiting<T>>) -> Vec<T> {
-    if ordered.iter().all(|w| w.displaced.is_none()) {
-        return ordered.into_iter().map(|w| w.job).collect();
+    if ordered.iter().all(|waiting| waiting.displaced.is_none()) {
+        return ordered.into_iter().map(|waiting| waiting.job).collect();
     }
-    let mut displaced: Vec<(usize, EvacuationPriority, T)> = Vec::new();
+    let mut displaced: Vec<DisplacedEntry<T>> = Vec::new();
     let mut others: Vec<(usize, T)> = Vec::new();
     for (urgency, waiting) in ordered.into_iter().enumerate() {
         match waiting.displaced {
-            Some(priority) => displaced.push((urgency, priority, waiting.job)),
+            Some(priority) => displaced.push(DisplacedEntry {
+                urgency,
+                priority,
+                job: waiting.job,
+            }),
             None => others.push((urgency, waiting.job)),
         }
     }
-    displaced.sort_by(|a, b| a.1.order(&b.1).then(a.0.cmp(&b.0)));
+    displaced.sort_by(|left, right| {
+        let by_priority = left.priority.order(&right.priority);
+        by_priority.then(left.urgency.cmp(&right.urgency))
+    });
     let mut merged = Vec::with_capacity(displaced.len() + others.len());
     let mut others = others.into_iter().peekable();
-    for (urgency, _, job) in displaced {
+    for DisplacedEntry { urgency, job, .. } in displaced {
         while let Some((_, more_urgent)) = others.next_if(|(other, _)| *other < urgency) {
             merged.push(more_urgent);
         }
@@ -79,7 +93,7 @@
     merged
 }
 
-/// A silent machine of a lost zone that may be given up.
+/// A silent machine of a lost zone that may be released.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SilentMachine {
     /// The machine.
@@ -99,24 +113,24 @@
     pub tasks: u32,
 }
 
-/// The evacuation of one loss of a zone, in one block.
+/// The evacuation of one loss of a zone, in one partition.
 #[derive(Debug, Default)]
 struct Evacuation {
     epoch: u64,
     /// The newest wave that was seen.
     wave: u64,
-    /// Machines that may still be given up.
+    /// Machines that may still be released.
     machines: usize,
     /// Displaced tasks that may still ask for machines.
     tasks: u32,
-    given_up: BTreeSet<MachineId>,
+    released: BTreeSet<MachineId>,
     admitted: BTreeSet<JobId>,
 }
 
-/// The waves of a block's holder.
+/// The waves of a partition's owner.
 ///
-/// Each wave that the leader commits allows so many machines to be given up and so many
-/// displaced tasks to ask for machines. A holder that has just taken the block over allows
+/// Each wave that the leader commits allows so many machines to be released and so many
+/// displaced tasks to ask for machines. An owner that has just failed over to the partition allows
 /// itself one wave, whatever number it finds: what was placed before does not wait any more,
 /// so it goes on where the one before stopped.
 #[derive(Debug, Default)]
@@ -136,9 +150,10 @@
 
     /// Takes in which zones are lost now.
     pub fn sync(&mut self, lost: &BTreeMap<ZoneId, ZoneRecord>) {
-        self.evacuations.retain(|id, e| {
+        self.evacuations.retain(|id, evacuation| {
             // What belongs to an earlier loss is over.
-            lost.get(id).is_some_and(|zone| zone.epoch == e.epoch)
+            lost.get(id)
+                .is_some_and(|zone| zone.epoch == evacuation.epoch)
         });
         for (id, zone) in lost {
             let new = Evacuation {
@@ -154,24 +169,24 @@
         }
     }
 
-    /// Which silent machines of a lost zone may be given up now: those of earlier waves
+    /// Which silent machines of a lost zone may be released now: those of earlier waves
     /// that are still there, and the most important ones up to this wave's number.
-    pub fn give_up(&mut self, zone: &ZoneId, mut silent: Vec<SilentMachine>) -> Vec<MachineId> {
+    pub fn release(&mut self, zone: &ZoneId, mut silent: Vec<SilentMachine>) -> Vec<MachineId> {
         let Some(evacuation) = self.evacuations.get_mut(zone) else {
             return Vec::new();
         };
-        silent.sort_by(|a, b| match (&a.priority, &b.priority) {
-            (Some(a), Some(b)) => a.order(b),
+        silent.sort_by(|left, right| match (&left.priority, &right.priority) {
+            (Some(left), Some(right)) => left.order(right),
             (Some(_), None) => Ordering::Less,
             (None, Some(_)) => Ordering::Greater,
             (None, None) => Ordering::Equal,
         });
         let mut allowed = Vec::new();
         for machine in silent {
-            let known = evacuation.given_up.contains(&machine.id);
+            let known = evacuation.released.contains(&machine.id);
             if !known && evacuation.machines > 0 {
                 evacuation.machines -= 1;
-                evacuation.given_up.insert(machine.id.clone());
+                evacuation.released.insert(machine.id.clone());
             } else if !known {
                 continue;
             }
@@ -187,7 +202,7 @@
             return;
         };
         jobs.retain(|job| !evacuation.admitted.contains(&job.id));
-        jobs.sort_by(|a, b| a.priority.order(&b.priority));
+        jobs.sort_by(|left, right| left.priority.order(&right.priority));
         for job in jobs {
             if evacuation.tasks == 0 {
                 return;
@@ -198,11 +213,11 @@
     }
 
     /// Whether a displaced job of that zone may ask for machines: it is admitted, or the
-    /// evacuation is over.
+    /// evacuation has ended.
     pub fn is_admitted(&self, zone: &ZoneId, job: &JobId) -> bool {
         self.evacuations
             .get(zone)
-            .is_none_or(|e| e.admitted.contains(job))
+            .is_none_or(|evacuation| evacuation.admitted.contains(job))
     }
 
     /// Whether that zone is being evacuated.
@@ -213,6 +228,6 @@
     /// Whether a silent machine of a zone waits for a further wave.
     pub fn is_held_back(&self, zone: &ZoneId, machine: &MachineId) -> bool {
         let evacuation = self.evacuations.get(zone);
-        evacuation.is_some_and(|e| !e.given_up.contains(machine))
+        evacuation.is_some_and(|evacuation| !evacuation.released.contains(machine))
     }
 }
--- a/crates/zone-failover/src/evidence.rs
+++ b/crates/zone-failover/src/evidence.rs
@@ -11,13 +11,13 @@
 pub struct ZoneCounts {
     /// The zone.
     pub zone: ZoneId,
-    /// Machines of the controller's own blocks that have been up.
+    /// Machines of the controller's own partitions that have been up.
     pub machines: u32,
     /// Those of them that are silent.
     pub silent: u32,
     /// Other controllers in the zone.
     pub peers: u32,
-    /// Those of them that are not heard.
+    /// Those of them whose heartbeats do not arrive.
     pub silent_peers: u32,
     /// Displaced tasks and silent machines that wait for a further wave.
     pub waiting: u32,
@@ -35,12 +35,12 @@
     pub incarnation: Revision,
     /// Rises with each message of this incarnation.
     pub sequence: u64,
-    /// The zones that it can tell of.
+    /// The zones that it has evidence about.
     pub zones: Vec<ZoneCounts>,
 }
 
-/// Evidence older than this says nothing.
-pub const FRESH: Micros = Micros::from_millis(3_000);
+/// Evidence older than this is ignored.
+pub const EVIDENCE_TTL: Micros = Micros::from_millis(3_000);
 
 #[derive(Debug)]
 struct Received {
@@ -59,9 +59,9 @@
 impl EvidenceTable {
     /// Takes a message in, unless it is a late or repeated copy.
     pub fn receive(&mut self, now: Micros, evidence: ZoneEvidence) {
-        let order = |e: &ZoneEvidence| (e.incarnation, e.sequence);
+        let order = |evidence: &ZoneEvidence| (evidence.incarnation, evidence.sequence);
         let known = self.by_observer.get(&evidence.from);
-        if known.is_some_and(|k| order(&k.evidence) >= order(&evidence)) {
+        if known.is_some_and(|known| order(&known.evidence) >= order(&evidence)) {
             // Guards against a copy that a cut held back: its zones may be up again.
             self.outdated += 1;
             return;
@@ -82,8 +82,8 @@
         let fresh = self
             .by_observer
             .values()
-            .filter(|r| now.since(r.at) < FRESH);
-        for counts in fresh.flat_map(|r| &r.evidence.zones) {
+            .filter(|received| now.since(received.at) < EVIDENCE_TTL);
+        for counts in fresh.flat_map(|received| &received.evidence.zones) {
             match all.get_mut(&counts.zone) {
                 Some(observation) => observation.add(counts),
                 None => {
--- a/crates/zone-failover/src/homecoming.rs
+++ b/crates/zone-failover/src/failback.rs
@@ -1,7 +1,7 @@
-//! Which running tasks are moved home after their zone is back: only where more is gained
+//! Which running tasks are moved back after their zone has returned: only where more is gained
 //! than lost, only what can save or has not begun, and under a budget for each team.
 
-use crate::settings::HomecomingSettings;
+use crate::settings::FailbackSettings;
 use std::collections::BTreeMap;
 
 /// A task of an evacuated job that runs, or is about to run, away from home.
@@ -22,9 +22,9 @@
 }
 
 impl<K> EvacuatedTask<K> {
-    fn may_move(&self, settings: &HomecomingSettings) -> bool {
+    fn may_move(&self, settings: &FailbackSettings) -> bool {
         let keeps_its_work = self.saves || !self.begun;
-        keeps_its_work && self.gain > 0.0 && self.gain >= settings.least_gain * self.loss
+        keeps_its_work && self.gain > 0.0 && self.gain >= settings.min_gain * self.loss
     }
 }
 
@@ -33,18 +33,20 @@
 pub fn choose<K>(
     tasks: Vec<EvacuatedTask<K>>,
     moving: &BTreeMap<usize, u32>,
-    settings: &HomecomingSettings,
+    settings: &FailbackSettings,
 ) -> Vec<K> {
     if !settings.move_running {
         return Vec::new();
     }
-    let mut worth: Vec<EvacuatedTask<K>> =
-        tasks.into_iter().filter(|t| t.may_move(settings)).collect();
-    let net = |t: &EvacuatedTask<K>| t.gain - t.loss;
-    worth.sort_by(|a, b| net(b).total_cmp(&net(a)));
+    let mut candidates: Vec<EvacuatedTask<K>> = tasks
+        .into_iter()
+        .filter(|task| task.may_move(settings))
+        .collect();
+    let net_gain = |task: &EvacuatedTask<K>| task.gain - task.loss;
+    candidates.sort_by(|left, right| net_gain(right).total_cmp(&net_gain(left)));
     let mut used = moving.clone();
     let mut chosen = Vec::new();
-    for task in worth {
+    for task in candidates {
         let of_team = used.entry(task.team).or_default();
         if *of_team < settings.tasks_per_team {
             *of_team += 1;
--- a/crates/zone-failover/src/health.rs
+++ b/crates/zone-failover/src/health.rs
@@ -1,16 +1,16 @@
 //! The health of one zone: hysteresis against short troubles, damping against flapping.
 //!
 //! ```text
-//!            pressure >= suspect_after        pressure >= lost_after
+//!            net downtime >= suspect_after    net downtime >= lost_after
 //!   Healthy ---------------------------> Suspect -------------------> Lost
 //!      ^  ^------------------------------------'                       |  ^
-//!      |          pressure back to zero          up for return_after   |  | down for
+//!      |          net downtime back to zero       up for return_after   |  | down for
 //!      |                                                               v  | suspect_after
 //!      '---------------------------------------------------------- Probation
 //!                     up for the whole probation
 //! ```
 //!
-//! *Pressure* is time spent down less time spent up, never below zero. A zone that is down
+//! *Net downtime* is time spent down less time spent up, never below zero. A zone that is down
 //! half of the time or less so never gets lost, however fast it flaps, and one that is
 //! down most of the time does.
 
@@ -28,7 +28,7 @@
     pub silent: u32,
     /// Controllers in the zone.
     pub peers: u32,
-    /// Those of them that no controller hears.
+    /// Those of them whose heartbeats reach no controller.
     pub silent_peers: u32,
     /// Displaced tasks and silent machines that wait for a further wave.
     pub waiting: u32,
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Adds what another controller sees. Each machine is in one controller's blocks; the
-    /// controllers of a zone are seen by all, and one that anybody hears is heard.
+    /// Adds what another controller sees. Each machine is in one controller's partitions; the
+    /// controllers of a zone are seen by all, and one that any controller hears is alive.
     pub fn add(&mut self, counts: &ZoneCounts) {
         self.machines = self.machines.saturating_add(counts.machines);
         self.silent = self.silent.saturating_add(counts.silent);
@@ -62,7 +62,7 @@
             return Condition::Unknown;
         }
         let share = f64::from(self.silent) / f64::from(self.machines);
-        if self.machines < settings.least_machines {
+        if self.machines < settings.min_machines {
             // So few machines may fail by themselves: the zone's controllers must agree.
             let peers_agree = self.peers > 0 && self.silent_peers == self.peers;
             return match (self.silent, share >= 1.0 && peers_agree) {
@@ -86,11 +86,11 @@
 pub enum Condition {
     /// Nothing, or too little to tell.
     Unknown,
-    /// Nearly all of its machines are heard.
+    /// The heartbeats of nearly all of its machines arrive.
     Up,
-    /// Some are heard, some are not.
+    /// Those of some arrive, those of others do not.
     Partial,
-    /// Nearly none is heard.
+    /// Nearly none arrives.
     Down,
 }
 
@@ -101,7 +101,7 @@
     /// As any other.
     #[default]
     Healthy,
-    /// It seems down: nothing is rented there, and none of its machines is returned.
+    /// It seems down: nothing is scaled out there, and none of its machines is released.
     Suspect,
     /// It is down: its work is moved elsewhere, in waves.
     Lost,
@@ -118,8 +118,8 @@
     pub to: ZoneState,
 }
 
-/// Time between two looks that counts at most: what happened meanwhile was not seen.
-const MOST_ELAPSED: Micros = Micros::from_millis(2_000);
+/// Time between two evaluations that counts at most: what happened meanwhile was not observed.
+const MAX_ELAPSED: Micros = Micros::from_millis(2_000);
 
 /// The health of one zone, as far as time and evidence go.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
@@ -130,20 +130,20 @@
     /// Losses that count for the length of the probation.
     relapses: u32,
     /// Time spent down less time spent up.
-    pressure: Micros,
+    net_downtime: Micros,
     /// Time spent up without a break.
-    calm: Micros,
+    continuous_uptime: Micros,
 }
 
 impl ZoneHealth {
-    /// As an earlier leader recorded it; `calm` is how long it has been on probation.
-    pub fn resume(state: ZoneState, epoch: u64, relapses: u32, calm: Micros) -> Self {
+    /// As an earlier leader recorded it; `continuous_uptime` is how long it has been on probation.
+    pub fn resume(state: ZoneState, epoch: u64, relapses: u32, continuous_uptime: Micros) -> Self {
         ZoneHealth {
             state,
             epoch,
             relapses,
-            pressure: Micros::ZERO,
-            calm,
+            net_downtime: Micros::ZERO,
+            continuous_uptime,
         }
     }
 
@@ -166,15 +166,15 @@
     pub fn probation(&self, settings: &HealthSettings) -> Micros {
         let doublings = self.relapses.saturating_sub(1).min(u64::BITS - 1);
         let length = settings.probation.0.saturating_mul(1 << doublings);
-        Micros(length).min(settings.most_probation)
+        Micros(length).min(settings.max_probation)
     }
 
     /// How long a zone on probation still has to stay up.
     pub fn probation_left(&self, settings: &HealthSettings) -> Micros {
-        self.probation(settings).since(self.calm)
+        self.probation(settings).since(self.continuous_uptime)
     }
 
-    /// Takes in what is seen `elapsed` after the last look. `may_be_lost` is false where no
+    /// Takes in what is seen `elapsed` after the last evaluation. `may_be_lost` is false where no
     /// other zone could take the work.
     pub fn observe(
         &mut self,
@@ -183,11 +183,13 @@
         may_be_lost: bool,
         settings: &HealthSettings,
     ) -> Option<Transition> {
-        self.accumulate(elapsed.min(MOST_ELAPSED), condition);
+        self.accumulate(elapsed.min(MAX_ELAPSED), condition);
         let next = match self.state {
             ZoneState::Healthy => self.next_of_healthy(settings),
             ZoneState::Suspect => self.next_of_suspect(may_be_lost, settings),
-            ZoneState::Lost => (self.calm >= settings.return_after).then_some(ZoneState::Probation),
+            ZoneState::Lost => {
+                (self.continuous_uptime >= settings.return_after).then_some(ZoneState::Probation)
+            }
             ZoneState::Probation => self.next_of_probation(may_be_lost, settings),
         };
         next.map(|to| self.enter(to))
@@ -196,34 +198,34 @@
     fn accumulate(&mut self, elapsed: Micros, condition: Condition) {
         match condition {
             Condition::Up => {
-                self.calm = self.calm + elapsed;
-                self.pressure = self.pressure - elapsed;
+                self.continuous_uptime = self.continuous_uptime + elapsed;
+                self.net_downtime = self.net_downtime - elapsed;
             }
             Condition::Down => {
-                self.calm = Micros::ZERO;
-                self.pressure = self.pressure + elapsed;
+                self.continuous_uptime = Micros::ZERO;
+                self.net_downtime = self.net_downtime + elapsed;
             }
             // A zone of which half is gone is not back.
-            Condition::Partial => self.calm = Micros::ZERO,
+            Condition::Partial => self.continuous_uptime = Micros::ZERO,
             Condition::Unknown => {}
         }
     }
 
     fn next_of_healthy(&mut self, settings: &HealthSettings) -> Option<ZoneState> {
-        if self.pressure >= settings.suspect_after {
+        if self.net_downtime >= settings.suspect_after {
             return Some(ZoneState::Suspect);
         }
-        if self.relapses > 0 && self.calm >= settings.quiet {
+        if self.relapses > 0 && self.continuous_uptime >= settings.quiet {
             self.relapses -= 1;
-            self.calm = Micros::ZERO;
+            self.continuous_uptime = Micros::ZERO;
         }
         None
     }
 
     fn next_of_suspect(&self, may_be_lost: bool, settings: &HealthSettings) -> Option<ZoneState> {
-        if self.pressure == Micros::ZERO {
+        if self.net_downtime == Micros::ZERO {
             Some(ZoneState::Healthy)
-        } else if self.pressure >= settings.lost_after && may_be_lost {
+        } else if self.net_downtime >= settings.lost_after && may_be_lost {
             Some(ZoneState::Lost)
         } else {
             None
@@ -231,16 +233,16 @@
     }
 
     fn next_of_probation(&self, may_be_lost: bool, settings: &HealthSettings) -> Option<ZoneState> {
-        if self.pressure >= settings.suspect_after && may_be_lost {
+        if self.net_downtime >= settings.suspect_after && may_be_lost {
             Some(ZoneState::Lost)
-        } else if self.calm >= self.probation(settings) {
+        } else if self.continuous_uptime >= self.probation(settings) {
             Some(ZoneState::Healthy)
         } else {
             None
         }
     }
 
-    /// An operator's word: it holds whatever the evidence says.
+    /// An operator's declaration: it holds whatever the evidence says.
     pub fn declare(&mut self, state: ZoneState) -> Option<Transition> {
         (self.state != state).then(|| self.enter(state))
     }
@@ -251,11 +253,11 @@
             ZoneState::Lost => {
                 self.epoch += 1;
                 self.relapses = self.relapses.saturating_add(1);
-                self.calm = Micros::ZERO;
+                self.continuous_uptime = Micros::ZERO;
             }
             ZoneState::Probation | ZoneState::Healthy => {
-                self.pressure = Micros::ZERO;
-                self.calm = Micros::ZERO;
+                self.net_downtime = Micros::ZERO;
+                self.continuous_uptime = Micros::ZERO;
             }
             ZoneState::Suspect => {}
         }
--- a/crates/zone-failover/src/leader.rs
+++ b/crates/zone-failover/src/leader/mod.rs
@@ -2,29 +2,32 @@
 //! controllers, and goes on from what an earlier leader committed.
 //!
 //! ```text
-//! handle(now, day, message) -> effects
+//! handle(now, wall_clock, message) -> effects
 //! ```
 //!
-//! Nothing is relied on before it is committed, but for one thing: rentals avoid a zone as
-//! soon as it is suspect here, since a rental that is not made can do no harm.
+//! Nothing is relied on before it is committed, but for one thing: scale-outs avoid a zone
+//! as soon as it is suspect here, since one that is not made can do no harm.
+
+mod zone;
 
 use crate::evidence::{EvidenceTable, ZoneEvidence};
-use crate::health::{Condition, Transition, ZoneHealth, ZoneObservation, ZoneState};
-use crate::record::{VERSION, ZoneRecord, ZonesRecord};
+use crate::health::{Condition, ZoneObservation, ZoneState};
+use crate::record::{VERSION, ZonesRecord};
 use crate::settings::{DeclaredState, Settings};
 use rockdeal_types::clock::Micros;
 use rockdeal_types::ids::{Revision, ZoneId};
 use std::collections::BTreeMap;
+use zone::{Zone, log_transition, resume};
 
-/// Between two looks at the evidence.
-const LOOK_EVERY: Micros = Micros::from_millis(500);
+/// Between two evaluations of the evidence.
+const EVALUATION_INTERVAL: Micros = Micros::from_millis(500);
 /// A commit without an answer for so long is asked for again.
 const COMMIT_TIMEOUT: Micros = Micros::from_millis(6_000);
-/// Machines take at least about so long to boot: they are rented so long before the end of
-/// a probation, and are up when it ends.
-const RENT_AHEAD: Micros = Micros::from_millis(20_000);
-/// After it begins to lead, a leader has not heard everybody yet.
-const LISTEN_FIRST: Micros = Micros::from_millis(2_000);
+/// Machines take at least about so long to boot: they are scaled out so long before the
+/// end of a probation, and are up when it ends.
+const SCALE_OUT_LEAD_TIME: Micros = Micros::from_millis(20_000);
+/// After it begins to lead, a leader has not received all evidence yet.
+const EVIDENCE_SETTLING_TIME: Micros = Micros::from_millis(2_000);
 
 /// A message to the core.
 #[derive(Debug, Clone)]
@@ -57,18 +60,6 @@
     Commit(ZonesRecord),
 }
 
-#[derive(Debug, Default)]
-struct Zone {
-    health: ZoneHealth,
-    /// Since when it is in its state, by the time of day.
-    since: Micros,
-    wave: u64,
-    last_wave: Micros,
-    declared: bool,
-    /// When machines were last seen there, or a probe was allowed.
-    last_seen: Micros,
-}
-
 #[derive(Debug)]
 struct Leadership {
     leader: Revision,
@@ -86,7 +77,7 @@
     Record(ZonesRecord),
 }
 
-/// How new machines of a zone may be rented.
+/// Whether new machines may be scaled out in a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ScaleOutAccess {
     /// As in any zone.
@@ -104,10 +95,10 @@
     evidence: EvidenceTable,
     zones: BTreeMap<ZoneId, Zone>,
     leadership: Option<Leadership>,
-    last_look: Micros,
+    last_evaluated_at: Micros,
     stored: Stored,
-    /// The commit that is out, and since when.
-    commit_out: Option<(Micros, ZonesRecord)>,
+    /// The commit in flight, and since when.
+    commit_in_flight: Option<(Micros, ZonesRecord)>,
 }
 
 impl ZoneLeader {
@@ -119,21 +110,23 @@
             evidence: EvidenceTable::default(),
             zones: zones.collect(),
             leadership: None,
-            last_look: Micros::ZERO,
+            last_evaluated_at: Micros::ZERO,
             stored: Stored::Nothing,
-            commit_out: None,
+            commit_in_flight: None,
         }
     }
 
-    /// Takes one message in. `now` is the steady clock, `day` the time of day.
-    pub fn handle(&mut self, now: Micros, day: Micros, message: Message) -> Vec<Effect> {
+    /// Takes one message in. `now` is the steady clock, `wall_clock` the time of day.
+    pub fn handle(&mut self, now: Micros, wall_clock: Micros, message: Message) -> Vec<Effect> {
         match message {
-            Message::Leading { leader, record } => self.lead(now, day, leader, record),
+            Message::Leading { leader, record } => {
+                self.assume_leadership(now, wall_clock, leader, record)
+            }
             Message::Following => self.leadership = None,
             Message::Evidence(evidence) => self.evidence.receive(now, evidence),
-            Message::Tick => return self.tick(now, day),
+            Message::Tick => return self.tick(now, wall_clock),
             Message::Committed { done } => {
-                self.stored = match self.commit_out.take() {
+                self.stored = match self.commit_in_flight.take() {
                     Some((_, record)) if done => Stored::Record(record),
                     _ => Stored::Unknown,
                 };
@@ -143,30 +136,38 @@
     }
 
     /// Whether this controller leads here under that key.
-    pub fn leads(&self, leader: Revision) -> bool {
-        self.leadership.as_ref().is_some_and(|l| l.leader == leader)
+    pub fn is_leading(&self, leader: Revision) -> bool {
+        self.leadership
+            .as_ref()
+            .is_some_and(|leadership| leadership.leader == leader)
     }
 
     /// A new leadership goes on from the committed record.
-    fn lead(&mut self, now: Micros, day: Micros, leader: Revision, record: Option<ZonesRecord>) {
-        if self.leads(leader) {
+    fn assume_leadership(
+        &mut self,
+        now: Micros,
+        wall_clock: Micros,
+        leader: Revision,
+        record: Option<ZonesRecord>,
+    ) {
+        if self.is_leading(leader) {
             return;
         }
         self.leadership = Some(Leadership { leader, since: now });
-        self.last_look = now;
-        self.commit_out = None;
+        self.last_evaluated_at = now;
+        self.commit_in_flight = None;
         for zone in self.zones.values_mut() {
             *zone = Zone {
-                last_seen: now,
+                last_seen_at: now,
                 ..Zone::default()
             };
         }
-        let recorded = record.iter().flat_map(|r| &r.zones);
+        let recorded = record.iter().flat_map(|record| &record.zones);
         for (id, recorded) in recorded {
             // Zones that this site does not have any more are left out.
             if let Some(zone) = self.zones.get_mut(id) {
-                *zone = resume(now, day, recorded);
-                tracing::info!(zone = %id, state = ?recorded.state, epoch = recorded.epoch, wave = recorded.wave, "zone: goes on from the record");
+                *zone = resume(now, wall_clock, recorded);
+                tracing::info!(zone = %id, state = ?recorded.state, epoch = recorded.epoch, wave = recorded.wave, "zone state restored");
             }
         }
         // Committed anew, so that followers know that this leader stands by it.
@@ -176,24 +177,24 @@
         };
     }
 
-    fn tick(&mut self, now: Micros, day: Micros) -> Vec<Effect> {
+    fn tick(&mut self, now: Micros, wall_clock: Micros) -> Vec<Effect> {
         let Some(leadership) = &self.leadership else {
             return Vec::new();
         };
         let since = leadership.since;
-        let elapsed = now.since(self.last_look);
-        if elapsed < LOOK_EVERY {
+        let elapsed = now.since(self.last_evaluated_at);
+        if elapsed < EVALUATION_INTERVAL {
             return Vec::new();
         }
-        self.last_look = now;
-        if now.since(since) >= LISTEN_FIRST {
-            self.look(now, day, elapsed);
+        self.last_evaluated_at = now;
+        if now.since(since) >= EVIDENCE_SETTLING_TIME {
+            self.evaluate(now, wall_clock, elapsed);
         }
-        self.apply_declarations(now, day);
+        self.apply_declarations(now, wall_clock);
         self.commit(now).into_iter().collect()
     }
 
-    fn look(&mut self, now: Micros, day: Micros, elapsed: Micros) {
+    fn evaluate(&mut self, now: Micros, wall_clock: Micros, elapsed: Micros) {
         let seen = self.evidence.observe(now);
         let conditions = self.conditions(&seen);
         let ids: Vec<ZoneId> = self.zones.keys().cloned().collect();
@@ -205,23 +206,23 @@
                 continue;
             };
             if observation.machines > 0 {
-                zone.last_seen = now;
+                zone.last_seen_at = now;
             }
             if !zone.declared {
                 let health = &self.settings.health;
                 let transition = zone.health.observe(elapsed, condition, may_be_lost, health);
                 if let Some(transition) = transition {
-                    zone.entered(now, day);
+                    zone.entered(now, wall_clock);
                     log_transition(&id, zone, transition, observation, health);
                 }
             }
             let evacuating = zone.health.state() == ZoneState::Lost;
-            let due = now.since(zone.last_wave) >= self.settings.waves.interval;
+            let due = now.since(zone.last_wave_at) >= self.settings.waves.interval;
             // No wave begins where nothing waits for one, nor without a place to go.
             if evacuating && due && observation.waiting > 0 && may_be_lost {
                 zone.wave += 1;
-                zone.last_wave = now;
-                tracing::info!(zone = %id, epoch = zone.health.epoch(), wave = zone.wave, waiting = observation.waiting, "zone: next wave");
+                zone.last_wave_at = now;
+                tracing::info!(zone = %id, epoch = zone.health.epoch(), wave = zone.wave, waiting = observation.waiting, "evacuation wave started");
             }
         }
     }
@@ -232,8 +233,11 @@
             .iter()
             .map(|(id, observation)| (id.clone(), observation.condition(health)))
             .collect();
-        let known = conditions.values().filter(|c| **c != Condition::Unknown);
-        if known.clone().count() > 1 && known.clone().all(|c| *c == Condition::Down) {
+        let known = conditions
+            .values()
+            .filter(|condition| **condition != Condition::Unknown);
+        if known.clone().count() > 1 && known.clone().all(|condition| *condition == Condition::Down)
+        {
             // Guards against evacuating everything: that all zones are lost at once can't be
             // told from a fault of the observers, and there is nowhere to go.
             return BTreeMap::new();
@@ -251,7 +255,7 @@
     }
 
     /// What operators declare in the file wins over the evidence.
-    fn apply_declarations(&mut self, now: Micros, day: Micros) {
+    fn apply_declarations(&mut self, now: Micros, wall_clock: Micros) {
         for (id, zone) in &mut self.zones {
             let declared = self.settings.declared.get(id);
             let state = match declared {
@@ -264,8 +268,8 @@
             };
             zone.declared = true;
             if let Some(transition) = zone.health.declare(state) {
-                zone.entered(now, day);
-                tracing::info!(zone = %id, from = ?transition.from, to = ?transition.to, epoch = zone.health.epoch(), "zone: declared by an operator");
+                zone.entered(now, wall_clock);
+                tracing::info!(zone = %id, from = ?transition.from, to = ?transition.to, epoch = zone.health.epoch(), "zone state declared");
             }
         }
     }
@@ -273,12 +277,12 @@
     /// Commits the states if they differ from what was last committed.
     fn commit(&mut self, now: Micros) -> Option<Effect> {
         let leader = self.leadership.as_ref()?.leader;
-        if let Some((since, _)) = &self.commit_out {
+        if let Some((since, _)) = &self.commit_in_flight {
             if now.since(*since) < COMMIT_TIMEOUT {
                 return None;
             }
-            // Guards against a state that followers never hear of: the commit may be lost.
-            self.commit_out = None;
+            // Guards against a state that followers never read: the commit may be lost.
+            self.commit_in_flight = None;
             self.stored = Stored::Unknown;
         }
         let record = ZonesRecord {
@@ -299,20 +303,20 @@
         if is_stored {
             return None;
         }
-        self.commit_out = Some((now, record.clone()));
+        self.commit_in_flight = Some((now, record.clone()));
         Some(Effect::Commit(record))
     }
 
-    /// Whether machines may be rented in a zone now.
-    pub fn rental_access(&self, now: Micros, id: &ZoneId) -> ScaleOutAccess {
+    /// Whether machines may be scaled out in a zone now.
+    pub fn scale_out_access(&self, now: Micros, id: &ZoneId) -> ScaleOutAccess {
         let Some(zone) = self.zones.get(id).filter(|_| self.leadership.is_some()) else {
             return ScaleOutAccess::Open;
         };
-        let is_unseen = now.since(zone.last_seen) >= self.settings.health.probe_after;
+        let is_unseen = now.since(zone.last_seen_at) >= self.settings.health.probe_after;
         let probation_left = zone.health.probation_left(&self.settings.health);
         match zone.health.state() {
             ZoneState::Healthy => ScaleOutAccess::Open,
-            ZoneState::Probation if probation_left <= RENT_AHEAD => ScaleOutAccess::Open,
+            ZoneState::Probation if probation_left <= SCALE_OUT_LEAD_TIME => ScaleOutAccess::Open,
             // Guards against a zone that stays in its state for ever, whichever it is: with
             // its last machine returned, nothing tells of it any more.
             _ if is_unseen && !zone.declared => ScaleOutAccess::Probe,
@@ -320,68 +324,10 @@
         }
     }
 
-    /// A probe was rented in a zone: the next one only after a while.
-    pub fn probed(&mut self, now: Micros, id: &ZoneId) {
+    /// A probe was scaled out in a zone: the next one only after a while.
+    pub fn record_probe(&mut self, now: Micros, id: &ZoneId) {
         if let Some(zone) = self.zones.get_mut(id) {
-            zone.last_seen = now;
-        }
-    }
-}
-
-impl Zone {
-    fn entered(&mut self, now: Micros, day: Micros) {
-        self.since = day;
-        // The first wave of a loss begins with it.
-        self.wave = u64::from(self.health.state() == ZoneState::Lost);
-        self.last_wave = now;
-    }
-
-    fn is_untouched(&self) -> bool {
-        self.health == ZoneHealth::default() || self.is_plainly_healthy()
-    }
-
-    /// Healthy, with no loss that still counts and none that a record must remember.
-    fn is_plainly_healthy(&self) -> bool {
-        self.health.state() == ZoneState::Healthy && self.health.epoch() == 0 && !self.declared
-    }
-
-    fn record(&self) -> ZoneRecord {
-        ZoneRecord {
-            state: self.health.state(),
-            epoch: self.health.epoch(),
-            since: self.since,
-            relapses: self.health.relapses(),
-            wave: self.wave,
-            declared: self.declared,
+            zone.last_seen_at = now;
         }
     }
 }
-
-fn resume(now: Micros, day: Micros, recorded: &ZoneRecord) -> Zone {
-    // Guards against a probation that each change of leader begins anew, so that it never ends.
-    let on_probation = recorded.state == ZoneState::Probation;
-    let calm = if on_probation {
-        day.since(recorded.since)
-    } else {
-        Micros::ZERO
-    };
-    Zone {
-        health: ZoneHealth::resume(recorded.state, recorded.epoch, recorded.relapses, calm),
-        since: recorded.since,
-        wave: recorded.wave,
-        last_wave: now,
-        declared: recorded.declared,
-        last_seen: now,
-    }
-}
-
-fn log_transition(
-    id: &ZoneId,
-    zone: &Zone,
-    transition: Transition,
-    seen: ZoneObservation,
-    health: &crate::settings::HealthSettings,
-) {
-    let probation_s = zone.health.probation(health).as_secs();
-    tracing::info!(zone = %id, from = ?transition.from, to = ?transition.to, epoch = zone.health.epoch(), relapses = zone.health.relapses(), probation_s, machines = seen.machines, silent = seen.silent, peers = seen.peers, silent_peers = seen.silent_peers, "zone: state changed");
-}
--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -1,5 +1,5 @@
 //! Zone failover: which zones are lost, in which order their work is moved elsewhere, and
-//! how it is brought home.
+//! how it is brought back.
 //!
 //! The package has no socket, no store and reads no clock. Controllers feed its cores with
 //! evidence, records and the time, and carry out what comes back:
@@ -10,17 +10,17 @@
 //!   their [`record`];
 //! - [`view`] is what a controller may rely on of the committed record;
 //! - [`evacuation`] orders displaced work and admits it in waves;
-//! - [`homecoming`] chooses running work to move home, inside a [`window`] of time.
+//! - [`failback`] chooses running work to move back, inside a [`window`] of time.
 //!
-//! Nothing here decides that a task is over. That stays with leases, fencing tokens and the
+//! Nothing here decides that a task has ended. That stays with leases, fencing tokens and the
 //! stored ends: a wrong opinion about a zone costs time, and never runs a task twice.
 
 #![warn(missing_docs)]
 
 pub mod evacuation;
 pub mod evidence;
+pub mod failback;
 pub mod health;
-pub mod homecoming;
 pub mod leader;
 pub mod record;
 pub mod settings;
--- a/crates/zone-failover/src/record.rs
+++ b/crates/zone-failover/src/record.rs
@@ -46,7 +46,7 @@
     /// Waves of its evacuation that may begin.
     #[serde(default)]
     pub wave: u64,
-    /// The state is an operator's word.
+    /// The state was declared by an operator.
     #[serde(default)]
     pub declared: bool,
 }
--- a/crates/zone-failover/src/view.rs
+++ b/crates/zone-failover/src/view.rs
@@ -7,26 +7,26 @@
 use std::collections::BTreeMap;
 
 /// After a change of leader, the record of the one before counts for so long: the next one
-/// commits it anew with its first look, if it has this subsystem on.
-const OUTLIVES_ITS_LEADER: Micros = Micros::from_millis(10_000);
+/// commits it anew with its first evaluation, if it has this subsystem on.
+const ORPHANED_RECORD_TTL: Micros = Micros::from_millis(10_000);
 
 /// The zones as this controller may rely on them.
 #[derive(Debug, Default)]
 pub struct ZoneView {
     record: Option<ZonesRecord>,
     /// Since when the leader that committed it does not lead any more.
-    orphaned: Option<Micros>,
+    orphaned_since: Option<Micros>,
 }
 
 impl ZoneView {
     /// Takes in what was read of the store: the record, as far as it can be read, and the
     /// revision of the leader's key, if there is a leader.
     pub fn sync(&mut self, now: Micros, record: Option<&ZonesRecord>, leader: Option<Revision>) {
-        let led = record.is_some_and(|r| Some(r.leader) == leader);
+        let led = record.is_some_and(|record| Some(record.leader) == leader);
         if led || record.is_none() {
-            self.orphaned = None;
+            self.orphaned_since = None;
         } else {
-            self.orphaned = self.orphaned.or(Some(now));
+            self.orphaned_since = self.orphaned_since.or(Some(now));
         }
         if self.record.as_ref() != record {
             self.record = record.cloned();
@@ -37,8 +37,8 @@
         // Guards against a zone that stays lost for ever: a leader without this subsystem,
         // or of an earlier version, never takes the record back.
         let counts = self
-            .orphaned
-            .is_none_or(|since| now.since(since) < OUTLIVES_ITS_LEADER);
+            .orphaned_since
+            .is_none_or(|since| now.since(since) < ORPHANED_RECORD_TTL);
         self.record.as_ref().filter(|_| counts)
     }
 
@@ -49,12 +49,16 @@
 
     /// The state of a zone.
     pub fn state(&self, now: Micros, id: &ZoneId) -> ZoneState {
-        self.zone(now, id).map_or(ZoneState::Healthy, |z| z.state)
+        self.zone(now, id)
+            .map_or(ZoneState::Healthy, |zone| zone.state)
     }
 
     /// Zones that are not healthy, with what is recorded of them.
     pub fn troubled(&self, now: Micros) -> BTreeMap<ZoneId, ZoneRecord> {
-        let zones = self.current(now).into_iter().flat_map(|r| &r.zones);
+        let zones = self
+            .current(now)
+            .into_iter()
+            .flat_map(|record| &record.zones);
         zones
             .filter(|(_, zone)| zone.state != ZoneState::Healthy)
             .map(|(id, zone)| (id.clone(), zone.clone()))
@@ -63,7 +67,10 @@
 
     /// Zones that were lost and are healthy again, with what is recorded of them.
     pub fn returned(&self, now: Micros) -> BTreeMap<ZoneId, ZoneRecord> {
-        let zones = self.current(now).into_iter().flat_map(|r| &r.zones);
+        let zones = self
+            .current(now)
+            .into_iter()
+            .flat_map(|record| &record.zones);
         zones
             .filter(|(_, zone)| zone.state == ZoneState::Healthy && zone.epoch > 0)
             .map(|(id, zone)| (id.clone(), zone.clone()))
--- a/crates/zone-failover/src/window.rs
+++ b/crates/zone-failover/src/window.rs
@@ -58,8 +58,8 @@
     }
 
     /// Whether it is open at that time of day, as microseconds since 1970.
-    pub fn is_open(&self, day: Micros) -> bool {
-        let Some(now) = timestamp(day) else {
+    pub fn is_open(&self, wall_clock: Micros) -> bool {
+        let Some(now) = timestamp(wall_clock) else {
             return false;
         };
         let today = self.time_zone.to_datetime(now).date();
@@ -112,6 +112,6 @@
     Second,
 }
 
-fn timestamp(day: Micros) -> Option<Timestamp> {
-    Timestamp::from_microsecond(i64::try_from(day.0).ok()?).ok()
+fn timestamp(wall_clock: Micros) -> Option<Timestamp> {
+    Timestamp::from_microsecond(i64::try_from(wall_clock.0).ok()?).ok()
 }
--- a/crates/zone-failover/tests/evacuation.rs
+++ b/crates/zone-failover/tests/evacuation.rs
@@ -9,10 +9,10 @@
 use zone_failover::evacuation::{
     DisplacedJob, EvacuationPriority, SilentMachine, Waiting, Waves, merge_displaced,
 };
+use zone_failover::failback::{EvacuatedTask, choose};
 use zone_failover::health::ZoneState;
-use zone_failover::homecoming::{EvacuatedTask, choose};
 use zone_failover::record::ZoneRecord;
-use zone_failover::settings::{HomecomingSettings, WaveSettings};
+use zone_failover::settings::{FailbackSettings, WaveSettings};
 
 fn priority(value: f64) -> EvacuationPriority {
     EvacuationPriority {
@@ -82,10 +82,10 @@
         let mut given: Vec<MachineId> = Vec::new();
         for wave in 1..=looks {
             waves.sync(&lost(wave));
-            let now = waves.give_up(&zone(), silent.clone());
+            let now = waves.release(&zone(), silent.clone());
             prop_assert!(now.len() <= size * wave as usize);
             // Asked again within the wave, it allows the same.
-            prop_assert_eq!(&waves.give_up(&zone(), silent.clone()), &now);
+            prop_assert_eq!(&waves.release(&zone(), silent.clone()), &now);
             prop_assert!(given.iter().all(|id| now.contains(id)));
             given = now;
         }
@@ -175,8 +175,8 @@
         id: id.clone(),
         priority: None,
     });
-    let given_up = waves.give_up(&zone(), silent.collect());
-    assert_eq!(given_up.len(), 2);
+    let released = waves.release(&zone(), silent.collect());
+    assert_eq!(released.len(), 2);
     let held_back = ids.iter().filter(|id| waves.is_held_back(&zone(), id));
     assert_eq!(held_back.count(), 7);
 }
@@ -207,10 +207,10 @@
 
 #[test]
 fn work_is_moved_home_only_by_gain_and_budget_and_if_it_keeps_what_it_has_done() {
-    let settings = HomecomingSettings {
+    let settings = FailbackSettings {
         move_running: true,
         tasks_per_team: 2,
-        ..HomecomingSettings::default()
+        ..FailbackSettings::default()
     };
     let task = |key, team, begun, saves, gain, loss| EvacuatedTask {
         key,
@@ -240,7 +240,7 @@
         ["large gain", "not begun"]
     );
     assert!(
-        choose(tasks, &none, &HomecomingSettings::default()).is_empty(),
+        choose(tasks, &none, &FailbackSettings::default()).is_empty(),
         "off"
     );
 }
--- a/crates/zone-failover/tests/health.rs
+++ b/crates/zone-failover/tests/health.rs
@@ -122,8 +122,8 @@
     /// Without a single look that says down nothing is ever suspect.
     #[test]
     fn only_silence_makes_a_zone_suspect(history in conditions()) {
-        let calm: Vec<Condition> = history.into_iter().filter(|c| *c != Condition::Down).collect();
-        let story = play(&calm, &HealthSettings::default());
+        let continuous_uptime: Vec<Condition> = history.into_iter().filter(|c| *c != Condition::Down).collect();
+        let story = play(&continuous_uptime, &HealthSettings::default());
         prop_assert!(story.states.iter().all(|s| *s == ZoneState::Healthy));
     }
 }
@@ -131,7 +131,7 @@
 #[test]
 fn every_relapse_doubles_the_probation_up_to_a_bound_and_quiet_time_shortens_it() {
     let settings = HealthSettings {
-        most_probation: Micros::from_millis(40_000),
+        max_probation: Micros::from_millis(40_000),
         ..HealthSettings::default()
     };
     let mut health = ZoneHealth::default();
--- a/crates/zone-failover/tests/leader.rs
+++ b/crates/zone-failover/tests/leader.rs
@@ -286,7 +286,7 @@
         "though all its machines are heard"
     );
     assert_eq!(
-        world.leader.rental_access(world.now, &"x".into()),
+        world.leader.scale_out_access(world.now, &"x".into()),
         ScaleOutAccess::Closed,
         "no probe"
     );
@@ -303,7 +303,7 @@
         world.down.insert(0);
         world.pass(seconds);
         assert_eq!(world.state("x"), state);
-        let access = |w: &World| w.leader.rental_access(w.now, &"x".into());
+        let access = |w: &World| w.leader.scale_out_access(w.now, &"x".into());
         assert_eq!(access(&world), ScaleOutAccess::Closed);
         // All its machines are gone: nobody tells anything of it.
         let silent = |world: &mut World| {
@@ -320,7 +320,7 @@
         silent(&mut world);
         assert_eq!(access(&world), ScaleOutAccess::Probe);
         let now = world.now;
-        world.leader.probed(now, &"x".into());
+        world.leader.record_probe(now, &"x".into());
         assert_eq!(access(&world), ScaleOutAccess::Closed, "one at a time");
         silent(&mut world);
         assert_eq!(access(&world), ScaleOutAccess::Probe);
@@ -336,7 +336,7 @@
     world.pass(12);
     world.down.clear();
     world.pass(5);
-    let access = |w: &World| w.leader.rental_access(w.now, &"x".into());
+    let access = |w: &World| w.leader.scale_out_access(w.now, &"x".into());
     assert_eq!(world.state("x"), ZoneState::Probation);
     assert_eq!(access(&world), ScaleOutAccess::Closed);
     world.pass(20);
--- a/crates/zone-failover/tests/settings.rs
+++ b/crates/zone-failover/tests/settings.rs
@@ -158,19 +158,16 @@
     let h = &s.health;
     let times = [h.suspect_after, h.lost_after, h.return_after, h.probation];
     assert_eq!(times.map(Micros::as_secs), [2.0, 5.0, 6.0, 11.0]);
-    let times = [h.most_probation, h.quiet, h.probe_after, h.patience];
+    let times = [h.max_probation, h.quiet, h.probe_after, h.patience];
     assert_eq!(times.map(Micros::as_secs), [61.0, 660.0, 21.0, 31.0]);
-    assert_eq!(
-        (h.lost_share, h.up_share, h.least_machines),
-        (0.75, 0.25, 4)
-    );
+    assert_eq!((h.lost_share, h.up_share, h.min_machines), (0.75, 0.25, 4));
     let w = &s.waves;
     assert_eq!(
         (w.machines, w.tasks, w.interval.as_secs()),
         (201, 2001, 1.5)
     );
-    let r = &s.homecoming;
-    let numbers = (r.move_running, r.tasks_per_team, r.least_gain);
+    let r = &s.failback;
+    let numbers = (r.move_running, r.tasks_per_team, r.min_gain);
     assert_eq!((numbers, r.period.as_secs()), ((true, 11, 2.5), 7200.0));
     use Weekday::*;
     let days = vec![
@@ -237,8 +234,8 @@
 #[test]
 fn a_window_over_midnight_belongs_to_the_day_on_which_it_begins() {
     let w = window(HOBART, vec![Weekday::Monday], "22:00", "05:00");
-    let open = |day, hour, minute| {
-        let local = date(2026, 12, day).at(hour, minute, 0, 0);
+    let open = |wall_clock, hour, minute| {
+        let local = date(2026, 12, wall_clock).at(hour, minute, 0, 0);
         w.is_open(at(HOBART, local, false))
     };
     // The 7th is a Monday.
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -5,7 +5,7 @@
 pub mod read_index;
 mod submissions;
 
-use crate::clock::{MonotonicClock, time_of_day};
+use crate::clock::{MonotonicClock, wall_clock_now};
 use crate::ids::{JobId, Revision};
 use crate::jobs::{EndedRecord, JobDesc, JobRecord, JobState, Refusal};
 use crate::partitions::FormatLevel;
@@ -158,7 +158,7 @@
 
     async fn status(&self, id: &str) -> UserAnswer {
         let id = JobId::from(id);
-        if !id.well_formed() {
+        if !id.is_well_formed() {
             return UserAnswer::Rejected(ApiError::UnknownJob);
         }
         match self.find(&id).await {
@@ -170,7 +170,7 @@
 
     async fn abort(&self, id: &str) -> UserAnswer {
         let id = JobId::from(id);
-        if !id.well_formed() {
+        if !id.is_well_formed() {
             return UserAnswer::Rejected(ApiError::UnknownJob);
         }
         for _ in 0..TRIES {
@@ -189,7 +189,7 @@
                 state: JobState::Cancelled,
                 tasks,
                 footprint: Some(footprint),
-                ended_at: Some(time_of_day()),
+                ended_at: Some(wall_clock_now()),
             };
             let compares = vec![
                 compare(keys::job(&id), revision),
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -27,7 +27,7 @@
             };
             let rec = JobRecord {
                 desc: job.clone(),
-                accepted_at: time_of_day(),
+                accepted_at: wall_clock_now(),
                 accepted_term: born,
             };
             let compares = vec![
--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -240,7 +240,7 @@
             Message::Cancelled { job, revision } => self.cancelled(job, revision),
             Message::ZoneEvidence(evidence) => {
                 if let Some(zones) = &mut self.zones {
-                    zones.hear(now, evidence);
+                    zones.record_evidence(now, evidence);
                 }
             }
         }
--- a/src/controller/core/leading.rs
+++ b/src/controller/core/leading.rs
@@ -162,7 +162,9 @@
             let leader_revision = self.cache.leader.as_ref().map_or(Revision(0), |(s, _)| *s);
             let zones = self.zones.as_ref();
             let access = |zone: &str| {
-                zones.map_or(ScaleOutAccess::Open, |zones| zones.rental_access(now, zone))
+                zones.map_or(ScaleOutAccess::Open, |zones| {
+                    zones.scale_out_access(now, zone)
+                })
             };
             let fleet = FleetSnapshot {
                 cache: &self.cache,
--- a/src/controller/core/replies.rs
+++ b/src/controller/core/replies.rs
@@ -51,7 +51,7 @@
             StoreOperation::TeamUsage | StoreOperation::GarbageCollection => {}
             StoreOperation::Zones => {
                 if let Some(zones) = &mut self.zones {
-                    zones.committed(now, reply);
+                    zones.handle_commit_reply(now, reply);
                 }
             }
             StoreOperation::DependencyEnd(id) => {
--- a/src/controller/core/zones.rs
+++ b/src/controller/core/zones.rs
@@ -12,7 +12,7 @@
         let Some(zones) = &mut self.zones else {
             return;
         };
-        zones.tick(now, &self.cache);
+        zones.refresh_if_due(now, &self.cache);
         for h in self.held.values_mut() {
             h.update_zones(now, &zones.config, zones.situation());
         }
@@ -25,10 +25,10 @@
             return;
         };
         let Some(leader) = leading else {
-            zones.follow(now);
+            zones.stop_leading(now);
             return;
         };
-        let Some((compares, mutations)) = zones.lead(now, wall_clock, &leader) else {
+        let Some((compares, mutations)) = zones.decide(now, wall_clock, &leader) else {
             return;
         };
         out.push(Effect::StoreRequest {
@@ -112,7 +112,7 @@
                 ..,
             ) = effect
             {
-                zones.probed(now, &rental.zone);
+                zones.record_probe(now, &rental.zone);
             }
         }
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -8,7 +8,7 @@
 use crate::api::ports::{ApiView, HeartbeatAnswer};
 use crate::api::ports::{CancelledJob, HeartbeatRequest, StatusQuery, StoreQuery};
 use crate::api::{self, read_index::JobLookup};
-use crate::clock::{Micros, MonotonicClock, time_of_day};
+use crate::clock::{Micros, MonotonicClock, wall_clock_now};
 use crate::cloud::client::CloudClient;
 use crate::http_client::{Failure, HttpRequest, Pool, Pools};
 
@@ -256,7 +256,7 @@
                     Input::Heartbeat { heartbeat: a.report, request_id: self.next }
                 }
             };
-            let effects = self.core.handle(self.clock.now(), time_of_day(), input);
+            let effects = self.core.handle(self.clock.now(), wall_clock_now(), input);
             for e in effects {
                 self.carry_out(e);
             }
--- a/src/jobs/description.rs
+++ b/src/jobs/description.rs
@@ -120,7 +120,7 @@
     let mut seen = BTreeSet::new();
     let mut ids = Vec::new();
     for id in named {
-        if !id.well_formed() {
+        if !id.is_well_formed() {
             return Err(D::Error::custom(format!("{id} is no job id")));
         }
         if seen.insert(id.clone()) {
@@ -193,7 +193,7 @@
             Ok(j) => j,
             Err(e) => return bad(e.to_string()),
         };
-        if !job.id.well_formed() {
+        if !job.id.is_well_formed() {
             return bad("id must be j- and digits".into());
         }
         if job.tasks == 0 || job.tasks > MOST_TASKS {
--- a/src/partition_owner/health.rs
+++ b/src/partition_owner/health.rs
@@ -99,7 +99,7 @@
         let withheld = |id: &MachineId, m: &Machine| {
             let evacuation = self.zone_evacuation.as_ref();
             let with_zone =
-                evacuation.is_some_and(|evacuation| evacuation.withholds(now, id, &m.zone));
+                evacuation.is_some_and(|evacuation| evacuation.retains(now, id, &m.zone));
             with_zone && self.is_silent(now, m)
         };
         let dead = self.machines.iter().filter(|(id, m)| {
--- a/src/partition_owner/zones.rs
+++ b/src/partition_owner/zones.rs
@@ -13,8 +13,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use zone_failover::evacuation::{EvacuationPriority, SilentMachine};
+use zone_failover::failback::{self, EvacuatedTask};
 use zone_failover::health::{Condition, ZoneObservation, ZoneState};
-use zone_failover::homecoming::{self, EvacuatedTask};
 
 /// Reports come within a quarter of their interval; a machine that is later than that, and
 /// the time that a report takes, is silent.
@@ -172,7 +172,7 @@
         let silent = self.silent_of_lost(now, wall_clock);
         let down = self.zones_down(now);
         if let Some(evacuation) = &mut self.zone_evacuation {
-            evacuation.forget(now, &self.jobs);
+            evacuation.collect_garbage(now, &self.jobs);
             evacuation.observe(now, &down);
             evacuation.advance(wall_clock, silent, &self.jobs);
         }
@@ -252,7 +252,7 @@
         let Some(evacuation) = &self.zone_evacuation else {
             return;
         };
-        let settings = &evacuation.config.settings.homecoming;
+        let settings = &evacuation.config.settings.failback;
         if !settings.move_running || self.is_being_handed_back() || !settings.is_open(wall_clock) {
             return;
         }
@@ -271,7 +271,7 @@
             .map(|h| (h.task.key.1.clone(), h.home.clone()))
             .collect();
         let tasks = homeward.into_iter().map(|h| h.task).collect();
-        let chosen = homecoming::choose(tasks, &evacuation.moving(), settings);
+        let chosen = failback::choose(tasks, &evacuation.moving(), settings);
         for (from, task) in chosen {
             if let Some(home) = homes.get(&task) {
                 self.move_task(now, &from, &task, home);
--- a/src/placement/capacity_requests.rs
+++ b/src/placement/capacity_requests.rs
@@ -117,7 +117,7 @@
     jobs.sort_by_cached_key(|j| (Reverse(j.rank()), j.slack(snapshot.wall_clock)));
     let mut jobs = snapshot.in_evacuation_order(jobs, |job| *job);
     if let Some(evacuation) = snapshot.zone_evacuation {
-        jobs.retain(|job| evacuation.may_rent_for(&job.desc.id));
+        jobs.retain(|job| evacuation.may_scale_out_for(&job.desc.id));
     }
     let mut rooms: Vec<PendingMachines<'_>> = coming.to_vec();
     let mut carry = 0.0;
--- a/src/subsystems/tests.rs
+++ b/src/subsystems/tests.rs
@@ -96,7 +96,7 @@
     });
     let all = all.replace("huonville-yard", "x");
     let (all, _) = parts(&Subsystems::parse(&all, &settings()).expect("fine"));
-    assert_eq!((all.homecoming.windows.len(), all.declared.len()), (1, 1));
+    assert_eq!((all.failback.windows.len(), all.declared.len()), (1, 1));
 }
 
 #[test]
--- a/src/zones/evacuation.rs
+++ b/src/zones/evacuation.rs
@@ -1,4 +1,5 @@
-//! What the owner of a partition keeps in mind while zones are lost or come home.
+//! The evacuation of lost zones and the return to them, as the owner of a partition tracks
+//! it: displaced jobs, silent machines that are retained, and tasks being moved back.
 
 use super::{ZoneFailoverConfig, ZoneSituation};
 use crate::clock::Micros;
@@ -12,35 +13,35 @@
 };
 use zone_failover::health::ZoneState;
 
-/// Silent machines of a zone that stays suspect are returned after all.
-const MOST_WITHHELD: Micros = Micros::from_millis(15_000);
+/// Silent machines of a zone that stays suspect are released after this.
+const MAX_RETENTION: Micros = Micros::from_millis(15_000);
 
-/// Silent machines of a zone that only this owner finds down are kept for so long: until
-/// the leader has had the time to say what it thinks.
-const MOST_WITHHELD_LOCALLY: Micros = Micros::from_millis(5_000);
+/// Silent machines of a zone that only this owner finds down are retained for so long: until
+/// the leader has had the time to commit its decision.
+const MAX_LOCAL_RETENTION: Micros = Micros::from_millis(5_000);
 
 /// A move of a running task whose end was not seen counts against its team's budget so long.
-const MOVE_TIME: Micros = Micros::from_millis(60_000);
+const MOVE_TIMEOUT: Micros = Micros::from_millis(60_000);
 
-/// A task on its way home.
+/// A running task that is being moved back to its zone.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Move {
     team: usize,
-    until: Micros,
+    expires_at: Micros,
 }
 
-/// The zones, as the owner of a partition deals with them.
+/// Which jobs were displaced and which silent machines are retained, in one partition.
 #[derive(Debug)]
 pub struct ZoneEvacuation {
     /// The checked settings.
     pub config: Rc<ZoneFailoverConfig>,
-    /// How the zones stand.
+    /// The states of the zones.
     pub situation: Rc<ZoneSituation>,
     waves: Waves,
     /// Jobs that lost an attempt with a zone.
     displaced: BTreeMap<JobId, ZoneId>,
-    /// Silent machines of lost zones that may be returned.
-    may_give_up: BTreeSet<MachineId>,
+    /// Silent machines of lost zones that may be released.
+    releasable: BTreeSet<MachineId>,
     /// Since when a zone is suspect here.
     suspect_since: BTreeMap<ZoneId, Micros>,
     /// Since when this owner itself finds a zone down.
@@ -49,21 +50,21 @@
 }
 
 impl ZoneEvacuation {
-    /// With nothing displaced, and every zone healthy until it is told.
+    /// With nothing displaced, and every zone healthy until the first update.
     pub fn new(config: Rc<ZoneFailoverConfig>) -> Self {
         ZoneEvacuation {
             waves: Waves::new(config.settings.waves.clone()),
             situation: Rc::new(ZoneSituation::healthy(&config)),
             config,
             displaced: BTreeMap::new(),
-            may_give_up: BTreeSet::new(),
+            releasable: BTreeSet::new(),
             suspect_since: BTreeMap::new(),
             down_here: BTreeMap::new(),
             moves: BTreeMap::new(),
         }
     }
 
-    /// Takes in how the zones stand now.
+    /// Updates the states of the zones.
     pub fn sync(&mut self, now: Micros, situation: &Rc<ZoneSituation>) {
         if !Rc::ptr_eq(&self.situation, situation) {
             self.situation = situation.clone();
@@ -84,10 +85,10 @@
         }
     }
 
-    /// Forgets jobs that are over, and moves that are.
-    pub fn forget(&mut self, now: Micros, jobs: &BTreeMap<JobId, Job>) {
+    /// Drops jobs that have ended, and moves that have expired.
+    pub fn collect_garbage(&mut self, now: Micros, jobs: &BTreeMap<JobId, Job>) {
         self.displaced.retain(|id, _| jobs.contains_key(id));
-        self.moves.retain(|_, m| m.until > now);
+        self.moves.retain(|_, task_move| task_move.expires_at > now);
     }
 
     /// Whether any job was displaced.
@@ -128,8 +129,8 @@
         merge_displaced(jobs.into_iter().map(waiting).collect())
     }
 
-    /// Whether machines may be rented for a job: a displaced one waits for its wave.
-    pub fn may_rent_for(&self, job: &JobId) -> bool {
+    /// Whether machines may be scaled out for a job: a displaced one waits for its wave.
+    pub fn may_scale_out_for(&self, job: &JobId) -> bool {
         let zone = self.displaced.get(job);
         zone.is_none_or(|zone| self.waves.is_admitted(zone, job))
     }
@@ -142,20 +143,20 @@
                 .closed_to(&job.desc, wall_clock.since(job.eligible_since), zone)
     }
 
-    /// Whether a silent machine of a zone is kept for now.
-    pub fn withholds(&self, now: Micros, machine: &MachineId, zone: &str) -> bool {
+    /// Whether a silent machine of a zone is not released for now.
+    pub fn retains(&self, now: Micros, machine: &MachineId, zone: &str) -> bool {
         match self.situation.state(zone) {
-            // Guards against returning a zone's machines just before it is suspect.
+            // Guards against releasing a zone's machines just before it is suspect.
             ZoneState::Healthy | ZoneState::Probation => self
                 .down_here
                 .get(zone)
-                .is_some_and(|since| now.since(*since) < MOST_WITHHELD_LOCALLY),
+                .is_some_and(|since| now.since(*since) < MAX_LOCAL_RETENTION),
             // It may be back in a moment, with all that ran there.
             ZoneState::Suspect => self
                 .suspect_since
                 .get(zone)
-                .is_some_and(|since| now.since(*since) < MOST_WITHHELD),
-            ZoneState::Lost => !self.may_give_up.contains(machine),
+                .is_some_and(|since| now.since(*since) < MAX_RETENTION),
+            ZoneState::Lost => !self.releasable.contains(machine),
         }
     }
 
@@ -167,25 +168,25 @@
         }
     }
 
-    /// Which silent machines may be returned in this wave, and which displaced jobs may have
-    /// machines rented for them. `silent` and the waiting tasks are by lost zone.
+    /// Which silent machines may be released in this wave, and which displaced jobs may have
+    /// machines scaled out for them. `silent` and the waiting tasks are by lost zone.
     pub fn advance(
         &mut self,
         wall_clock: Micros,
         mut silent: BTreeMap<ZoneId, Vec<SilentMachine>>,
         jobs: &BTreeMap<JobId, Job>,
     ) {
-        self.may_give_up.clear();
+        self.releasable.clear();
         for zone in self.situation.lost().into_keys() {
             let machines = silent.remove(&zone).unwrap_or_default();
-            let allowed = self.waves.give_up(&zone, machines);
-            self.may_give_up.extend(allowed);
-            let waiting = self.waiting_from(&zone, jobs, wall_clock);
+            let allowed = self.waves.release(&zone, machines);
+            self.releasable.extend(allowed);
+            let waiting = self.displaced_jobs_of(&zone, jobs, wall_clock);
             self.waves.admit(&zone, waiting);
         }
     }
 
-    fn waiting_from(
+    fn displaced_jobs_of(
         &self,
         zone: &ZoneId,
         jobs: &BTreeMap<JobId, Job>,
@@ -193,10 +194,10 @@
     ) -> Vec<DisplacedJob> {
         let of_zone = self.displaced.iter().filter(|(_, from)| *from == zone);
         let mut waiting: Vec<&Job> = of_zone
-            .filter_map(|(id, _)| jobs.get(id).filter(|j| j.wants_machines()))
+            .filter_map(|(id, _)| jobs.get(id).filter(|job| job.wants_machines()))
             .collect();
-        // As placement orders them where their priorities are alike. Guards against room that
-        // is rented for one and taken by another, again and again.
+        // As placement orders them where their priorities are alike. Guards against capacity that
+        // is scaled out for one and taken by another, again and again.
         waiting.sort_by_cached_key(|job| job.turn(wall_clock));
         waiting.reverse();
         waiting
@@ -219,23 +220,23 @@
         let of_zone = self.displaced.iter().filter(|(_, from)| *from == zone);
         of_zone
             .filter(|(id, _)| !self.waves.is_admitted(zone, id))
-            .filter_map(|(id, _)| jobs.get(id).filter(|j| j.wants_machines()))
+            .filter_map(|(id, _)| jobs.get(id).filter(|job| job.wants_machines()))
             .map(|job| job.waiting.len())
             .sum()
     }
 
-    /// Tasks of each team that are on their way home.
+    /// Tasks of each team that are being moved back.
     pub fn moving(&self) -> BTreeMap<usize, u32> {
         let mut moving = BTreeMap::new();
-        for m in self.moves.values() {
-            *moving.entry(m.team).or_default() += 1;
+        for task_move in self.moves.values() {
+            *moving.entry(task_move.team).or_default() += 1;
         }
         moving
     }
 
-    /// A task is being moved home.
+    /// A task is being moved back to its zone.
     pub fn moves(&mut self, now: Micros, task: AttemptKey, team: usize) {
-        let until = now + MOVE_TIME;
-        self.moves.insert(task, Move { team, until });
+        let expires_at = now + MOVE_TIMEOUT;
+        self.moves.insert(task, Move { team, expires_at });
     }
 }
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -1,5 +1,5 @@
-//! Zone failover in a controller: what it sees of the zones, what it reads and commits of
-//! their states, and what placement and renting have to know.
+//! Zone failover in a controller: what it observes of the zones, what it reads and commits of
+//! their states, and what placement and the autoscaler have to know.
 //!
 //! The decisions are in the package `zone-failover`; this slice feeds it and carries out
 //! what it says.
@@ -33,14 +33,14 @@
     pub order: EvacuationOrder,
 }
 
-/// How the zones stand, as placement and the partitions' owners may rely on it.
+/// The states of the zones, as placement and the partitions' owners may rely on them.
 #[derive(Debug, PartialEq)]
 pub struct ZoneSituation {
     /// Zones that are not healthy.
     pub troubled: BTreeMap<ZoneId, ZoneRecord>,
     /// Zones that were lost and are healthy again.
     pub returned: BTreeMap<ZoneId, ZoneRecord>,
-    /// A job that has waited for so long may use any machine that is heard.
+    /// A job that has waited for so long may use any machine whose heartbeats arrive.
     pub patience: Micros,
 }
 
@@ -58,7 +58,7 @@
     pub fn state(&self, zone: &str) -> ZoneState {
         self.troubled
             .get(zone)
-            .map_or(ZoneState::Healthy, |z| z.state)
+            .map_or(ZoneState::Healthy, |zone| zone.state)
     }
 
     /// Zones that are lost.
@@ -66,12 +66,12 @@
         let lost = self
             .troubled
             .iter()
-            .filter(|(_, z)| z.state == ZoneState::Lost);
+            .filter(|(_, zone)| zone.state == ZoneState::Lost);
         lost.map(|(id, zone)| (id.clone(), zone.clone())).collect()
     }
 
     /// Whether new work of a job stays out of a zone. Never for good: work that can go
-    /// nowhere else, or has waited for long, uses what is heard there.
+    /// nowhere else, or has waited for long, uses the machines there whose heartbeats arrive.
     pub fn closed_to(&self, job: &JobDesc, waited: Micros, zone: &str) -> bool {
         let avoided = matches!(self.state(zone), ZoneState::Lost | ZoneState::Probation);
         let bound = job.zone.as_deref() == Some(zone);
@@ -79,9 +79,9 @@
     }
 }
 
-/// How often the view is looked at without a change: the record of a leader that is gone
-/// counts for a while only.
-const REFRESH_EVERY: Micros = Micros::from_millis(500);
+/// How often the view is evaluated without a change: the record of a leader that has lost
+/// its leadership counts for a while only.
+const REFRESH_INTERVAL: Micros = Micros::from_millis(500);
 
 /// Zone failover in one controller.
 #[derive(Debug)]
@@ -106,7 +106,11 @@
 impl ZoneFailover {
     /// With nothing known of any zone.
     pub fn new(config: Rc<ZoneFailoverConfig>, settings: &Settings) -> Self {
-        let zones = settings.platform.zones.iter().map(|z| z.as_str().into());
+        let zones = settings
+            .platform
+            .zones
+            .iter()
+            .map(|zone| zone.as_str().into());
         let situation = ZoneSituation::healthy(&config);
         ZoneFailover {
             label: settings.label.clone(),
@@ -123,7 +127,7 @@
         }
     }
 
-    /// How the zones stand.
+    /// The states of the zones.
     pub fn situation(&self) -> &Rc<ZoneSituation> {
         &self.situation
     }
@@ -137,12 +141,12 @@
         if revision != self.record_revision {
             self.record_revision = revision;
             self.is_newer = false;
-            self.record = value.and_then(|v| match ZonesRecord::read(v) {
+            self.record = value.and_then(|value| match ZonesRecord::read(value) {
                 Ok(record) => Some(record),
                 Err(error) => {
                     self.is_newer = matches!(error, RecordError::Newer(_));
                     self.unreadable += 1;
-                    tracing::error!(%error, unreadable = self.unreadable, "zone: the record is no opinion about any zone");
+                    tracing::error!(%error, unreadable = self.unreadable, "zone record unreadable");
                     None
                 }
             });
@@ -152,9 +156,9 @@
         self.refresh(now);
     }
 
-    /// Looks at the view again, since time alone changes it, too.
-    pub fn tick(&mut self, now: Micros, cache: &WatchCache) {
-        if now.since(self.last_refresh) >= REFRESH_EVERY {
+    /// Evaluates the view again, since time alone changes it, too.
+    pub fn refresh_if_due(&mut self, now: Micros, cache: &WatchCache) {
+        if now.since(self.last_refresh) >= REFRESH_INTERVAL {
             self.sync(now, cache);
         }
     }
@@ -171,8 +175,8 @@
         }
     }
 
-    /// Takes a peer's evidence in.
-    pub fn hear(&mut self, now: Micros, evidence: ZoneEvidence) {
+    /// Records a peer's evidence.
+    pub fn record_evidence(&mut self, now: Micros, evidence: ZoneEvidence) {
         self.leader
             .handle(now, Micros::ZERO, Message::Evidence(evidence));
     }
@@ -191,23 +195,23 @@
             sequence: self.sequence,
             zones,
         };
-        self.hear(now, evidence.clone());
+        self.record_evidence(now, evidence.clone());
         evidence
     }
 
     /// This controller does not lead.
-    pub fn follow(&mut self, now: Micros) {
+    pub fn stop_leading(&mut self, now: Micros) {
         self.leader.handle(now, Micros::ZERO, Message::Following);
     }
 
     /// This controller leads: what is to be committed now, if anything.
-    pub fn lead(
+    pub fn decide(
         &mut self,
         now: Micros,
         wall_clock: Micros,
         leader: &Compare,
     ) -> Option<(Vec<Compare>, Vec<Mutation>)> {
-        if !self.leader.leads(leader.revision) {
+        if !self.leader.is_leading(leader.revision) {
             let record = self.record.clone();
             let leader = leader.revision;
             self.leader
@@ -230,20 +234,20 @@
     }
 
     /// The store has answered a commit.
-    pub fn committed(&mut self, now: Micros, reply: &Reply) {
-        // One without an answer is asked for again: the same record does no harm twice.
+    pub fn handle_commit_reply(&mut self, now: Micros, reply: &Reply) {
+        // One without an answer is retried: the same record does no harm twice.
         let done = matches!(reply, Reply::Committed(_));
         self.leader
             .handle(now, Micros::ZERO, Message::Committed { done });
     }
 
-    /// Whether machines may be rented in a zone.
-    pub fn rental_access(&self, now: Micros, zone: &str) -> ScaleOutAccess {
-        self.leader.rental_access(now, &zone.into())
+    /// Whether machines may be scaled out in a zone.
+    pub fn scale_out_access(&self, now: Micros, zone: &str) -> ScaleOutAccess {
+        self.leader.scale_out_access(now, &zone.into())
     }
 
-    /// A machine was rented to see whether a zone is back.
-    pub fn probed(&mut self, now: Micros, zone: &str) {
-        self.leader.probed(now, &zone.into());
+    /// A machine was scaled out to see whether a zone is back.
+    pub fn record_probe(&mut self, now: Micros, zone: &str) {
+        self.leader.record_probe(now, &zone.into());
     }
 }
--- a/src/zones/order.rs
+++ b/src/zones/order.rs
@@ -58,7 +58,7 @@
             );
         }
         match expression.check(&scope).map_err(from_first_line)? {
-            Kind::Number(least, most) if least.is_finite() && most.is_finite() => {}
+            Kind::Number(min, max) if min.is_finite() && max.is_finite() => {}
             Kind::Number(..) => return fail(start, "it may grow without bound", "use clamp(...)"),
             other => {
                 let why = format!("it must be a number, and is {}", other.name());
@@ -99,8 +99,8 @@
     }
 }
 
-fn level(rank: Priority) -> f64 {
-    match rank {
+fn level(priority: Priority) -> f64 {
+    match priority {
         Priority::Idle => 0.0,
         Priority::Standard => 1.0,
         Priority::High => 2.0,
