--- a/src/fairness/tests.rs
+++ b/src/fairness/tests.rs
@@ -81,12 +81,12 @@
         Resources::default()
     );
     // Heaviness: one task alone on a 16-core, 64 GB machine, less the quota.
-    let heavy = machine_share(
+    let endowed = endowment(
         Resources::new(2.0, 0.0, 8.0),
         Resources::new(16.0, 0.0, 64.0),
         Resources::new(2.0, 0.0, 8.0),
-        fleet,
     );
+    let heavy = static_heaviness(endowed, fleet);
     near(heavy - static_heaviness(aq, fleet), 0.1 + 0.1 - 0.1);
 }
 
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -104,7 +104,7 @@
                 }
             };
             kind.rooms.push(i);
-            kind.most = kind.most.most(r.free);
+            kind.most = kind.most.max(r.free);
         }
         floor
     }
@@ -237,6 +237,6 @@
 fn missing(r: &CandidateMachine<'_>, request: &Resources) -> f64 {
     let lacking = *request - r.free;
     lacking
-        .most(Resources::default())
+        .max(Resources::default())
         .share_of(&r.machine.capacity)
 }
