--- a/src/partition_owner/mod.rs
+++ b/src/partition_owner/mod.rs
@@ -429,7 +429,7 @@
                 }),
             }
         }
-        placement::needs(
+        placement::capacity_requests(
             &self.snapshot(now, wall_clock, fleet),
             &coming,
             self.policy.rent_horizon,
@@ -439,7 +439,7 @@
     /// A line for operators on how the partition is used.
     pub fn log_usage(&self, now: Micros) {
         let heard = self.heard_within();
-        let usable = |m: &&Machine| placement::usable(m, now, heard);
+        let usable = |m: &&Machine| placement::accepts_tasks(m, now, heard);
         let cores =
             |ms: &mut dyn Iterator<Item = &Machine>| ms.map(|m| m.capacity.cores).sum::<f64>();
         let used: f64 = self.machines.values().map(|m| m.load.summed.cores).sum();
--- a/src/partition_owner/records.rs
+++ b/src/partition_owner/records.rs
@@ -336,7 +336,7 @@
                 rec.release_reason = Some(ReleaseReason::Return);
                 return true;
             }
-            if !placement::usable(m, now, heard) || !m.is_empty() {
+            if !placement::accepts_tasks(m, now, heard) || !m.is_empty() {
                 return false;
             }
             let idle = now.since(m.idle_since.max(idle_from));
--- a/src/partition_owner/starts.rs
+++ b/src/partition_owner/starts.rs
@@ -4,7 +4,7 @@
 use crate::clock::Micros;
 use crate::fairness::Resources;
 use crate::ids::{AttemptId, MachineId, TaskId};
-use crate::placement::{self, CandidateMachines, Placement, PlacementPass};
+use crate::placement::{self, CandidateMachines, PassLimits, Placement, PlacementPass, Victim};
 use crate::workers::{Attempt, DirectCommand, Phase, ReleaseState};
 
 /// After an attempt to connect failed.
@@ -28,7 +28,7 @@
             return;
         }
         self.pass_pending = false;
-        let queues = placement::queues(&self.snapshot(now, wall_clock, fleet));
+        let queues = placement::build_queues(&self.snapshot(now, wall_clock, fleet));
         let waiting = self
             .constrained
             .waiting(&self.snapshot(now, wall_clock, fleet), &queues);
@@ -36,14 +36,22 @@
         let snapshot = self.snapshot(now, wall_clock, fleet);
         let mut cost = 0;
         if !queues.is_empty() {
-            let floor = CandidateMachines::whole(&snapshot);
+            let floor = CandidateMachines::of_partition(&snapshot);
             cost = floor.len();
-            let placed = placement::place(&snapshot, &queues, floor, PASS_REACH, MOST_STARTS);
+            let placed = placement::run_pass(
+                &snapshot,
+                &queues,
+                floor,
+                PassLimits {
+                    max_jobs_per_team: PASS_REACH,
+                    max_placements: MOST_STARTS,
+                },
+            );
             cost += placed.machines_compared;
-            self.pass_pending = placed.choices.len() >= MOST_STARTS;
+            self.pass_pending = placed.placements.len() >= MOST_STARTS;
             self.machines_compared += placed.machines_compared;
             self.hold(&placed);
-            self.start(now, wall_clock, placed.choices, true);
+            self.start(now, wall_clock, placed.placements, true);
         } else {
             self.hold(&PlacementPass::default());
         }
@@ -88,12 +96,20 @@
         let Some((id, _)) = self.machines.get_key_value(id) else {
             return;
         };
-        let Some(floor) = CandidateMachines::one(&snapshot, id) else {
+        let Some(floor) = CandidateMachines::of_machine(&snapshot, id) else {
             return;
         };
-        let placed = placement::place(&snapshot, &self.queues, floor, REFILL_REACH, MOST_STARTS);
+        let placed = placement::run_pass(
+            &snapshot,
+            &self.queues,
+            floor,
+            PassLimits {
+                max_jobs_per_team: REFILL_REACH,
+                max_placements: MOST_STARTS,
+            },
+        );
         self.machines_compared += placed.machines_compared;
-        self.start(now, wall_clock, placed.choices, false);
+        self.start(now, wall_clock, placed.placements, false);
     }
 
     fn start(&mut self, now: Micros, wall_clock: Micros, choices: Vec<Placement>, tell: bool) {
@@ -132,15 +148,19 @@
 
     /// Stops work for what found no room and comes before it.
     fn preempt(&mut self, now: Micros, wall_clock: Micros, fleet: Resources) {
-        let preemption = placement::preempt(&self.snapshot(now, wall_clock, fleet));
+        let preemption = placement::plan_preemption(&self.snapshot(now, wall_clock, fleet));
         self.machines_compared += preemption.machines_compared;
-        for s in preemption.stops {
+        for s in preemption.preemptions {
             let Some(m) = self.machines.get_mut(&s.machine) else {
                 continue;
             };
-            for (key, leeway_s) in &s.victims {
+            for Victim {
+                key,
+                grace_period_s,
+            } in &s.victims
+            {
                 tracing::debug!(partition = %self.id, task = %key.0, attempt = %key.1, r#for = %s.reserve.job, "preempt");
-                m.stop(*leeway_s, |k| k == key);
+                m.stop(*grace_period_s, |k| k == key);
             }
             self.pending_commands.insert(s.machine.clone());
             match m.reserved.iter_mut().find(|r| r.job == s.reserve.job) {
--- a/src/partition_owner/zones.rs
+++ b/src/partition_owner/zones.rs
@@ -296,7 +296,7 @@
             .machines
             .iter()
             .filter(|(_, m)| back.iter().any(|zone| zone.as_str() == m.zone))
-            .filter(|(_, m)| placement::usable(m, now, snapshot.heartbeat_timeout))
+            .filter(|(_, m)| placement::accepts_tasks(m, now, snapshot.heartbeat_timeout))
             .map(|(id, m)| (id, m.capacity - m.load.summed - reserved(m, now)))
             .collect();
         let mut homeward = Vec::new();
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -1,14 +1,30 @@
 //! The machines that a pass may use: what is free on them, and how good a place each is.
 
-use super::{SchedulingSnapshot, usable, zone_allowed};
+use super::zone_constraints::{TasksByZone, is_zone_allowed};
+use super::{SchedulingSnapshot, accepts_tasks};
 use crate::clock::Micros;
 use crate::fairness::{Load, Resources};
 use crate::ids::{JobId, MachineId};
 use crate::jobs::{ImageKey, Job, JobDesc};
 use crate::workers::Machine;
 use std::borrow::Cow;
-use std::collections::BTreeMap;
 
+/// At most one in so many machines is held for a head job.
+const MACHINES_PER_HELD: usize = 12;
+/// Spot machines are filled first, so that the expensive ones become idle and are released.
+const SPOT_SCORE: f64 = 1.2;
+/// Images are not fetched without need.
+const IMAGE_PRESENT_SCORE: f64 = 2.0;
+/// What each second of fetching an image takes from the score, up to
+/// [`MAX_FETCH_SECONDS`].
+const FETCH_SECOND_SCORE: f64 = 0.1;
+const MAX_FETCH_SECONDS: f64 = 10.0;
+/// A rate below this counts as this one, so that no division is by zero.
+const MIN_FETCH_GB_PER_S: f64 = 0.01;
+/// What others were stopped for is used first.
+const RESERVED_SCORE: f64 = 4.0;
+
+/// A machine in a pass.
 pub(super) struct CandidateMachine<'a> {
     pub(super) id: &'a MachineId,
     pub(super) machine: &'a Machine,
@@ -34,151 +50,170 @@
     /// What is free for a job, without what others were stopped for.
     pub(super) fn free_for(&self, id: &JobId, now: Micros) -> Resources {
         let mut free = self.free;
-        for r in self
-            .machine
-            .reserved
-            .iter()
-            .filter(|r| r.job != *id && r.until > now)
-        {
-            free -= r.request.scale(f64::from(r.count));
+        let reservations = self.machine.reserved.iter();
+        for reservation in reservations.filter(|r| r.job != *id && r.until > now) {
+            free -= reservation.request.scale(f64::from(reservation.count));
         }
         free
     }
 
-    fn open_to(&self, id: &JobId) -> bool {
-        self.held_for.is_none_or(|h| h == id)
+    fn is_open_to(&self, id: &JobId) -> bool {
+        self.held_for.is_none_or(|held_for| held_for == id)
+    }
+
+    /// How good a place it is: small tasks go where large ones can't, images are not
+    /// fetched without need, and where one must be, sooner rather than later.
+    fn score(&self, desc: &JobDesc, image: ImageKey) -> f64 {
+        let mut score = desc.request().share_of(&self.free);
+        if self.machine.images.contains(&image) || self.images.contains(&image) {
+            score += IMAGE_PRESENT_SCORE;
+        } else {
+            let rate = self.machine.image_fetch_gb_per_s.max(MIN_FETCH_GB_PER_S);
+            score -= FETCH_SECOND_SCORE * (desc.image_gb / rate).min(MAX_FETCH_SECONDS);
+        }
+        if self.machine.spot {
+            score += SPOT_SCORE;
+        }
+        if self.machine.reserved.iter().any(|r| r.job == desc.id) {
+            score += RESERVED_SCORE;
+        }
+        score
+    }
+
+    /// The largest share of the machine that a request lacks on it.
+    fn lacking_share(&self, request: &Resources) -> f64 {
+        let lacking = *request - self.free;
+        lacking
+            .max(Resources::default())
+            .share_of(&self.machine.capacity)
     }
 }
 
-/// Machines alike in type, zone and kind.
-struct Kind<'a> {
+/// Machines alike in type, zone and whether they are spot instances.
+struct MachineKind<'a> {
     machine_type: &'a str,
     zone: &'a str,
     spot: bool,
     /// The most that any of them has free; less may be left by now.
-    most: Resources,
-    rooms: Vec<usize>,
+    max_free: Resources,
+    /// Their places among the candidates.
+    places: Vec<usize>,
+}
+
+impl<'a> MachineKind<'a> {
+    fn of(machine: &'a Machine, free: Resources) -> Self {
+        MachineKind {
+            machine_type: &machine.machine_type,
+            zone: &machine.zone,
+            spot: machine.spot,
+            max_free: free,
+            places: Vec::new(),
+        }
+    }
+
+    fn includes(&self, machine: &Machine) -> bool {
+        self.machine_type == machine.machine_type
+            && self.zone == machine.zone
+            && self.spot == machine.spot
+    }
 }
 
 /// The machines that a pass may use.
 pub struct CandidateMachines<'a> {
-    pub(super) rooms: Vec<CandidateMachine<'a>>,
-    kinds: Vec<Kind<'a>>,
+    pub(super) machines: Vec<CandidateMachine<'a>>,
+    kinds: Vec<MachineKind<'a>>,
     /// The most that any machine has free.
-    pub(super) most: Resources,
+    pub(super) max_free: Resources,
     /// Room is held only by passes that see the whole partition.
-    pub(super) whole: bool,
+    pub(super) is_whole_partition: bool,
     /// Machines compared with a class so far: what a pass costs.
-    pub machines_compared: usize,
+    pub(super) machines_compared: usize,
 }
 
 impl<'a> CandidateMachines<'a> {
     /// All machines of the partition that can be used now.
-    pub fn whole(snapshot: &SchedulingSnapshot<'a>) -> Self {
-        let usable = |m: &&Machine| usable(m, snapshot.now, snapshot.heartbeat_timeout);
-        let rooms = snapshot.machines.iter().filter(|(_, m)| usable(m));
-        let mut floor = CandidateMachines {
-            rooms: rooms.map(|(id, m)| CandidateMachine::new(id, m)).collect(),
-            kinds: Vec::new(),
-            most: Resources::default(),
-            whole: true,
+    pub fn of_partition(snapshot: &SchedulingSnapshot<'a>) -> Self {
+        let machines: Vec<CandidateMachine<'a>> = snapshot
+            .machines
+            .iter()
+            .filter(|(_, machine)| accepts_tasks(machine, snapshot.now, snapshot.heartbeat_timeout))
+            .map(|(id, machine)| CandidateMachine::new(id, machine))
+            .collect();
+        CandidateMachines {
+            kinds: kinds_of(&machines),
+            machines,
+            max_free: Resources::default(),
+            is_whole_partition: true,
             machines_compared: 0,
-        };
-        for (i, r) in floor.rooms.iter().enumerate() {
-            let m = r.machine;
-            let same = |k: &&mut Kind<'_>| {
-                k.machine_type == m.machine_type && k.zone == m.zone && k.spot == m.spot
-            };
-            let kind = match floor.kinds.iter_mut().find(same) {
-                Some(kind) => kind,
-                None => {
-                    floor.kinds.push(Kind {
-                        machine_type: &m.machine_type,
-                        zone: &m.zone,
-                        spot: m.spot,
-                        most: r.free,
-                        rooms: Vec::new(),
-                    });
-                    let last = floor.kinds.len() - 1;
-                    &mut floor.kinds[last]
-                }
-            };
-            kind.rooms.push(i);
-            kind.most = kind.most.max(r.free);
         }
-        floor
-    }
-
-    /// How many machines there are.
-    pub fn len(&self) -> usize {
-        self.rooms.len()
-    }
-
-    /// Whether there is none.
-    pub fn is_empty(&self) -> bool {
-        self.rooms.is_empty()
     }
 
     /// One machine, on which room got free.
-    pub fn one(snapshot: &SchedulingSnapshot<'a>, id: &'a MachineId) -> Option<Self> {
-        let m = snapshot.machines.get(id)?;
-        if !usable(m, snapshot.now, snapshot.heartbeat_timeout) {
+    pub fn of_machine(snapshot: &SchedulingSnapshot<'a>, id: &'a MachineId) -> Option<Self> {
+        let machine = snapshot.machines.get(id)?;
+        if !accepts_tasks(machine, snapshot.now, snapshot.heartbeat_timeout) {
             return None;
         }
-        let mut room = CandidateMachine::new(id, m);
+        let mut candidate = CandidateMachine::new(id, machine);
         // Held room stays held while the job that it is for still waits.
-        let waits = |j: &&JobId| snapshot.jobs.get(*j).is_some_and(|j| !j.waiting.is_empty());
-        room.held_for = m.held_for.as_ref().filter(waits);
-        let kind = Kind {
-            machine_type: &m.machine_type,
-            zone: &m.zone,
-            spot: m.spot,
-            most: room.free,
-            rooms: vec![0],
+        let still_waits = |id: &&JobId| {
+            let job = snapshot.jobs.get(*id);
+            job.is_some_and(|job| !job.waiting.is_empty())
         };
+        candidate.held_for = machine.held_for.as_ref().filter(still_waits);
+        let machines = vec![candidate];
         Some(CandidateMachines {
-            most: room.free,
-            rooms: vec![room],
-            kinds: vec![kind],
-            whole: false,
+            kinds: kinds_of(&machines),
+            max_free: machines[0].free,
+            machines,
+            is_whole_partition: false,
             machines_compared: 0,
         })
     }
 
-    /// The machines where a task fits now, the best one last.
+    /// How many machines there are.
+    pub fn len(&self) -> usize {
+        self.machines.len()
+    }
+
+    /// Whether there is none.
+    pub fn is_empty(&self) -> bool {
+        self.machines.is_empty()
+    }
+
+    /// The machines where a task fits now, by their places, the best one last.
     pub(super) fn candidates(
         &mut self,
         snapshot: &SchedulingSnapshot<'_>,
         id: &JobId,
         job: &Job,
     ) -> Vec<usize> {
-        let d = &*job.desc;
-        let (request, image) = (d.request(), d.image_key());
+        let desc = &*job.desc;
+        let (request, image) = (desc.request(), desc.image_key());
         let leaves = snapshot.constrained.leaves(job, snapshot.wall_clock);
-        let mut found: Vec<(f64, usize)> = Vec::new();
+        let mut scored: Vec<(f64, usize)> = Vec::new();
         for kind in &self.kinds {
-            if !request.fits_in(&kind.most)
-                || !d.allows(kind.machine_type, kind.zone, kind.spot)
+            if !request.fits_in(&kind.max_free)
+                || !desc.allows(kind.machine_type, kind.zone, kind.spot)
                 || leaves.contains(&kind.machine_type)
                 || snapshot.is_closed(job, kind.zone)
             {
                 continue;
             }
-            self.machines_compared += kind.rooms.len();
-            for &i in &kind.rooms {
-                let r = &self.rooms[i];
+            self.machines_compared += kind.places.len();
+            for &place in &kind.places {
+                let candidate = &self.machines[place];
                 // A job that failed on a machine tries others first.
-                if r.open_to(id)
-                    && request.fits_in(&r.free)
-                    && request.fits_in(&r.free_for(id, snapshot.now))
-                    && !r.machine.is_avoided_by(id, snapshot.now)
+                if candidate.is_open_to(id)
+                    && request.fits_in(&candidate.free)
+                    && request.fits_in(&candidate.free_for(id, snapshot.now))
+                    && !candidate.machine.is_avoided_by(id, snapshot.now)
                 {
-                    found.push((worth(r, d, image), i));
+                    scored.push((candidate.score(desc, image), place));
                 }
             }
         }
-        found.sort_by(|a, b| a.0.total_cmp(&b.0));
-        found.into_iter().map(|(_, i)| i).collect()
+        places_by_score(scored)
     }
 
     /// A head job that fits nowhere holds freed room on the machines where it will
@@ -186,57 +221,48 @@
     pub(super) fn hold(
         &mut self,
         id: &'a JobId,
-        d: &JobDesc,
+        desc: &JobDesc,
         waiting: u32,
-        zones: &BTreeMap<&str, u32>,
+        by_zone: &TasksByZone<'_>,
     ) {
-        let request = d.request();
-        let most = (waiting as usize).min(1 + self.rooms.len() / HELD_PART);
-        let mut found: Vec<(f64, usize)> = Vec::new();
-        self.machines_compared += self.rooms.len();
-        for (i, r) in self.rooms.iter().enumerate() {
-            let m = r.machine;
-            if request.fits_in(&m.capacity)
-                && d.allows(&m.machine_type, &m.zone, m.spot)
-                && zone_allowed(d, zones, &m.zone)
+        let request = desc.request();
+        let max_held = (waiting as usize).min(1 + self.machines.len() / MACHINES_PER_HELD);
+        let mut lacking: Vec<(f64, usize)> = Vec::new();
+        self.machines_compared += self.machines.len();
+        for (place, candidate) in self.machines.iter().enumerate() {
+            let machine = candidate.machine;
+            if request.fits_in(&machine.capacity)
+                && desc.allows(&machine.machine_type, &machine.zone, machine.spot)
+                && is_zone_allowed(desc, by_zone, &machine.zone)
             {
-                found.push((missing(r, &request), i));
+                lacking.push((candidate.lacking_share(&request), place));
             }
         }
-        found.sort_by(|a, b| a.0.total_cmp(&b.0));
-        for (_, i) in found.into_iter().take(most) {
-            self.rooms[i].held_for = Some(id);
+        for place in places_by_score(lacking).into_iter().take(max_held) {
+            self.machines[place].held_for = Some(id);
         }
     }
 }
 
-/// At most one in so many machines is held for a head job.
-const HELD_PART: usize = 12;
-
-/// How good a place is: small tasks go where large ones can't, images are not
-/// fetched without need, and where one must be, sooner rather than later.
-fn worth(r: &CandidateMachine<'_>, d: &JobDesc, image: ImageKey) -> f64 {
-    let mut worth = d.request().share_of(&r.free);
-    if r.machine.images.contains(&image) || r.images.contains(&image) {
-        worth += 2.0;
-    } else {
-        worth -= 0.1 * (d.image_gb / r.machine.image_fetch_gb_per_s.max(0.01)).min(10.0);
-    }
-    if r.machine.spot {
-        worth += SPOT_FIRST;
-    }
-    if r.machine.reserved.iter().any(|x| x.job == d.id) {
-        worth += 4.0;
+fn kinds_of<'a>(machines: &[CandidateMachine<'a>]) -> Vec<MachineKind<'a>> {
+    let mut kinds: Vec<MachineKind<'a>> = Vec::new();
+    for (place, candidate) in machines.iter().enumerate() {
+        let known = kinds
+            .iter()
+            .position(|kind| kind.includes(candidate.machine));
+        let index = known.unwrap_or_else(|| {
+            kinds.push(MachineKind::of(candidate.machine, candidate.free));
+            kinds.len() - 1
+        });
+        let kind = &mut kinds[index];
+        kind.places.push(place);
+        kind.max_free = kind.max_free.max(candidate.free);
     }
-    worth
+    kinds
 }
 
-/// Spot machines are filled first, so that the dear ones get idle and are returned.
-const SPOT_FIRST: f64 = 1.2;
-
-fn missing(r: &CandidateMachine<'_>, request: &Resources) -> f64 {
-    let lacking = *request - r.free;
-    lacking
-        .max(Resources::default())
-        .share_of(&r.machine.capacity)
+/// Places by their scores, the lowest first.
+fn places_by_score(mut scored: Vec<(f64, usize)>) -> Vec<usize> {
+    scored.sort_by(|left, right| left.0.total_cmp(&right.0));
+    scored.into_iter().map(|(_, place)| place).collect()
 }
--- /dev/null
+++ b/src/placement/zone_constraints.rs
@@ -0,0 +1,42 @@
+//! Jobs whose tasks belong into one zone, or must not all be in one.
+
+use crate::ids::MachineId;
+use crate::jobs::{Job, JobDesc};
+use crate::workers::{Machine, Phase};
+use std::collections::BTreeMap;
+
+/// How many tasks of a job are, or may be, in each zone.
+pub(super) type TasksByZone<'a> = BTreeMap<&'a str, u32>;
+
+/// Counts a job's tasks by zone; nothing for a job without such a constraint.
+pub(super) fn tasks_by_zone<'a>(
+    job: &Job,
+    machines: &'a BTreeMap<MachineId, Machine>,
+) -> TasksByZone<'a> {
+    let mut by_zone = BTreeMap::new();
+    if !job.desc.single_zone && !job.desc.anti_affinity {
+        return by_zone;
+    }
+    for machine in machines.values() {
+        // Attempts, not only known tasks: one being stopped is still there.
+        let attempts = machine
+            .attempts
+            .iter()
+            .filter(|(key, attempt)| key.0.job == job.desc.id && attempt.phase != Phase::Exited);
+        let count = attempts.count() as u32;
+        if count > 0 {
+            *by_zone.entry(machine.zone.as_str()).or_default() += count;
+        }
+    }
+    by_zone
+}
+
+/// Whether one more task of a job may go to a zone.
+pub(super) fn is_zone_allowed(desc: &JobDesc, by_zone: &TasksByZone<'_>, zone: &str) -> bool {
+    let is_elsewhere = |(other, count): (&&str, &u32)| **other != *zone && *count > 0;
+    if desc.single_zone && by_zone.iter().any(is_elsewhere) {
+        return false;
+    }
+    let in_zone = by_zone.get(zone).copied().unwrap_or(0);
+    !desc.anti_affinity || in_zone < desc.tasks.div_ceil(2)
+}
