--- a/src/partition_owner/health.rs
+++ b/src/partition_owner/health.rs
@@ -3,7 +3,7 @@
 use super::OwnedPartition;
 use crate::clock::Micros;
 use crate::ids::MachineId;
-use crate::workers::{Machine, Phase};
+use crate::workers::{AttemptPhase, Machine};
 
 const NEVER_HEARD: Micros = Micros::from_millis(180_000);
 
@@ -29,10 +29,9 @@
             if let Some(m) = self
                 .machines
                 .get_mut(id)
-                .filter(|m| m.last_heard_at.is_some())
+                .filter(|m| m.last_contact_at().is_some())
             {
-                m.cordoned |= !m.draining;
-                m.draining = true;
+                m.cordon();
             }
         }
     }
@@ -42,7 +41,7 @@
         let known = self
             .machines
             .values()
-            .filter(|m| m.last_heard_at.is_some())
+            .filter(|m| m.last_contact_at().is_some())
             .count();
         // Guards against taking a standstill of our own for a cut: hear first.
         let since = self.last_heard.max(self.listening);
@@ -63,28 +62,28 @@
             self.silence(),
             Micros::from_millis(6_000).max(self.reports_of(1.6)),
         );
-        let silent = |m: &Machine| match m.last_heard_at {
-            Some(h) => now.since(h.max(listening).max(m.added_at)) > silence,
+        let silent = |m: &Machine| match m.last_contact_at() {
+            Some(h) => now.since(h.max(listening).max(m.added_at())) > silence,
             // Old jobs wait for it, and a live one answers our direct command at once.
-            None if m.unconfirmed => now.since(m.added_at.max(listening)) > unconfirmed,
-            None => now.since(m.added_at) > NEVER_HEARD,
+            None if m.is_unconfirmed() => now.since(m.added_at().max(listening)) > unconfirmed,
+            None => now.since(m.added_at()) > NEVER_HEARD,
         };
         // Alive, but its reports reach nobody: it keeps what it has until its lease ends,
         // and is replaced as soon as it has nothing, or nothing to come of it.
         let lease = Micros::from_secs(self.settings.platform.workers.lease_s);
-        let idle = |m: &Machine| m.attempts.values().all(|t| t.phase == Phase::Exited);
+        let idle = |m: &Machine| m.attempts.values().all(|t| t.phase == AttemptPhase::Exited);
         let unheard = |m: &Machine| {
             let since = m
-                .last_heartbeat_at
-                .unwrap_or(m.added_at)
-                .max(m.added_at)
+                .last_heartbeat_at()
+                .unwrap_or(m.added_at())
+                .max(m.added_at())
                 .max(listening);
-            m.last_heard_at.is_some()
+            m.last_contact_at().is_some()
                 && now.since(since) > silence
                 && (idle(m) && m.has_no_command_in_transit()
                     || now.since(m.lease_started_at()) > lease)
         };
-        let failed = |m: &Machine| m.draining && idle(m);
+        let failed = |m: &Machine| !m.is_schedulable() && idle(m);
         // Should so many be silent at once, the first to go show whether it is them.
         let most = 2 + self.machines.len() / 10;
         // And if so many do not hear us, it is we who are not heard.
@@ -99,7 +98,7 @@
         let withheld = |id: &MachineId, m: &Machine| {
             let evacuation = self.zone_evacuation.as_ref();
             let with_zone =
-                evacuation.is_some_and(|evacuation| evacuation.retains(now, id, &m.zone));
+                evacuation.is_some_and(|evacuation| evacuation.retains(now, id, &m.spec.zone));
             with_zone && self.is_silent(now, m)
         };
         let dead = self.machines.iter().filter(|(id, m)| {
--- a/src/partition_owner/heartbeats.rs
+++ b/src/partition_owner/heartbeats.rs
@@ -7,7 +7,8 @@
 use crate::jobs::EndedRecord;
 use crate::store::Reply;
 use crate::workers::{
-    Attempt, AttemptEvent, AttemptKey, Cause, Heartbeat, HeartbeatResponse, Phase, ReleaseState,
+    Attempt, AttemptEvent, AttemptKey, AttemptPhase, CommandRoute, ExitCause, Heartbeat,
+    HeartbeatResponse, TaskDemand,
 };
 use std::collections::btree_map::Entry;
 
@@ -33,12 +34,16 @@
             self.refill(now, wall_clock, fleet, &r.machine);
         }
         let m = self.machines.get_mut(&r.machine)?;
-        m.record_answer(now, r);
+        m.record_response(now, r);
         Some(HeartbeatResponse {
             fencing_token: m.fencing_token(),
             // What does not count gets the token and nothing else: the next report
             // will show it.
-            commands: if counts { m.commands(true) } else { Vec::new() },
+            commands: if counts {
+                m.commands(CommandRoute::Response)
+            } else {
+                Vec::new()
+            },
             valid_until: until,
         })
     }
@@ -49,12 +54,12 @@
         let m = self
             .machines
             .get_mut(&r.machine)
-            .filter(|m| m.release_state == ReleaseState::Active)?;
+            .filter(|m| m.is_active())?;
         if !m.is_newer(r) {
             // A late copy is older than what is known: it says nothing, not even
             // that the machine lives.
-            m.record_uncounted_heartbeat(r);
-            if m.needs_probe {
+            m.record_stale_heartbeat(r);
+            if m.needs_probe() {
                 self.pending_commands.insert(r.machine.clone());
             }
             return None;
@@ -65,12 +70,12 @@
             return None;
         }
         if !m.shows_term(r) {
-            m.record_uncounted_heartbeat(r);
+            m.record_stale_heartbeat(r);
             self.to_open |= !m.used;
             return Some(false);
         }
         self.to_open |= !m.used;
-        m.last_heartbeat_at = Some(now);
+        m.record_heartbeat(now);
         self.last_report = now;
         self.take_in(now, r);
         Some(true)
@@ -82,7 +87,7 @@
         let Some(m) = self.machines.get_mut(&r.machine) else {
             return;
         };
-        let was_unconfirmed = m.unconfirmed;
+        let was_unconfirmed = m.is_unconfirmed();
         let events = m.reconcile(now, r);
         let changed = was_unconfirmed || !events.is_empty();
         for event in events {
@@ -106,26 +111,21 @@
             return;
         };
         let Some(r) = answer.filter(|r| r.machine == *id) else {
-            m.direct_command_lost();
+            m.record_direct_command_lost();
             return;
         };
-        m.direct_command_in_flight = false;
-        m.needs_probe = false;
-        m.unsent_commands = 0;
+        m.record_direct_command_reply();
         // Refused for its session: send again under the right one. A higher
         // token than ours means that we are fenced, so not then.
         if r.fencing_token <= m.fencing_token() {
-            m.attempts
-                .values_mut()
-                .filter(|t| t.phase == Phase::Launching)
-                .for_each(|t| t.sent = false);
+            m.resend_launches();
         }
         if m.has_restarted(&r) {
             tracing::info!(partition = %self.id, machine = %id, "the worker has begun anew");
             m.record_restart(now, &r);
         } else if !m.shows_term(&r) {
-            m.record_uncounted_heartbeat(&r);
-            m.needs_probe = false;
+            m.record_stale_heartbeat(&r);
+            m.cancel_probe();
         } else if m.is_newer(&r) {
             self.take_in(now, &r);
         }
@@ -138,13 +138,9 @@
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        m.next_direct_command_at = now + super::starts::DIRECT_AGAIN;
-        m.token_commands = m.token_commands.saturating_sub(1);
         // It can't be reached: what was to start there starts elsewhere, and nothing
         // more is tried there until it reports.
-        m.unsent_commands += 1;
-        m.needs_probe = true;
-        let keys = m.abandon_unsent_launches();
+        let keys = m.record_direct_command_not_sent(now + super::starts::DIRECT_AGAIN);
         self.update_usage(id);
         for key in keys {
             self.requeue(&key, id);
@@ -154,9 +150,9 @@
     fn event(&mut self, now: Micros, on: &MachineId, event: AttemptEvent) {
         match event {
             AttemptEvent::Started(key) => {
-                if let Some(job) = self.jobs.get_mut(&key.0.job) {
-                    job.runs(key.0.index);
-                    self.dirty.insert(key.0.job);
+                if let Some(job) = self.jobs.get_mut(&key.task.job) {
+                    job.runs(key.task.index);
+                    self.dirty.insert(key.task.job);
                 }
             }
             AttemptEvent::Lost(key) => self.requeue(&key, on),
@@ -171,15 +167,15 @@
         now: Micros,
         on: &MachineId,
         key: AttemptKey,
-        phase: Phase,
-        cause: Option<Cause>,
+        phase: AttemptPhase,
+        cause: Option<ExitCause>,
     ) {
-        let job = self.jobs.get_mut(&key.0.job);
-        let index = key.0.index;
+        let job = self.jobs.get_mut(&key.task.job);
+        let index = key.task.index;
         let mut t = Attempt::new(phase, now, job.as_ref().map(|j| (j.team, &j.desc)));
         t.cause = cause;
-        if t.demand.is_none() && phase != Phase::Exited {
-            match self.unknown_jobs.entry(key.0.job.clone()) {
+        if t.demand.is_none() && phase != AttemptPhase::Exited {
+            match self.unknown_jobs.entry(key.task.job.clone()) {
                 Entry::Occupied(known) => {
                     if let UnknownJob::Known(takes) = known.get() {
                         t.demand = *takes;
@@ -195,29 +191,29 @@
             let free = index < job.desc.tasks
                 && !job.done.contains(index)
                 && !job.active.contains_key(&index);
-            ours = free || job.active.get(&index) == Some(on) && phase == Phase::Exited;
-            if free && phase != Phase::Exited {
+            ours = free || job.active.get(&index) == Some(on) && phase == AttemptPhase::Exited;
+            if free && phase != AttemptPhase::Exited {
                 job.start(index, on.clone());
-                if phase == Phase::Running {
+                if phase == AttemptPhase::Running {
                     job.runs(index);
                 }
-                self.dirty.insert(key.0.job.clone());
+                self.dirty.insert(key.task.job.clone());
             }
         }
         if !ours {
             // Of a job that is over, or elsewhere already: it must go.
-            t.stop_grace_period_s = Some(0.0);
+            t.request_stop(0.0);
             t.may_be_reaped = true;
         }
         let Some(m) = self.machines.get_mut(on) else {
             return;
         };
-        if phase == Phase::Running {
+        if phase == AttemptPhase::Running {
             m.images.extend(t.image());
         }
         m.attempts.insert(key.clone(), t);
-        if phase == Phase::Exited && ours {
-            self.ended(now, on, key, cause.unwrap_or(Cause::Other));
+        if phase == AttemptPhase::Exited && ours {
+            self.ended(now, on, key, cause.unwrap_or(ExitCause::Other));
         }
     }
 
@@ -239,7 +235,12 @@
             Reply::Value(row) => EndedRecord::read(row)
                 .ok()
                 .and_then(|rec| rec.footprint)
-                .and_then(|f| Some((self.settings.team(&f.team)?, f.request))),
+                .and_then(|f| {
+                    Some(TaskDemand {
+                        team: self.settings.team(&f.team)?,
+                        request: f.request,
+                    })
+                }),
             Reply::NotFound => None,
             _ => {
                 let again = UnknownJob::Read(now + READ_AGAIN);
@@ -251,7 +252,7 @@
             .insert(id.clone(), UnknownJob::Known(takes));
         let mut on: Vec<MachineId> = Vec::new();
         for (at, m) in &mut self.machines {
-            for (_, t) in m.attempts.iter_mut().filter(|(k, _)| k.0.job == *id) {
+            for (_, t) in m.attempts.iter_mut().filter(|(k, _)| k.task.job == *id) {
                 t.demand = t.demand.or(takes);
                 on.push(at.clone());
             }
@@ -262,20 +263,20 @@
         self.pass_pending = true;
     }
 
-    fn ended(&mut self, now: Micros, on: &MachineId, key: AttemptKey, cause: Cause) {
-        let job = self.jobs.get_mut(&key.0.job);
-        if cause == Cause::Done
+    fn ended(&mut self, now: Micros, on: &MachineId, key: AttemptKey, cause: ExitCause) {
+        let job = self.jobs.get_mut(&key.task.job);
+        if cause == ExitCause::Done
             && let Some(job) = job
         {
             job.succeeded();
             if let Some(m) = self.machines.get_mut(on) {
-                m.failed_jobs.clear();
+                m.failures.clear();
             }
             // Wherever else the task was thought to be, it is over.
-            job.finish(key.0.index);
-            self.dirty.insert(key.0.job.clone());
+            job.finish(key.task.index);
+            self.dirty.insert(key.task.job.clone());
             self.unreaped
-                .entry(key.0.job.clone())
+                .entry(key.task.job.clone())
                 .or_default()
                 .push((on.clone(), key));
             return;
@@ -285,29 +286,29 @@
                 t.may_be_reaped = true;
             }
             if let Some(job) = job
-                && matches!(cause, Cause::Error | Cause::Unknown)
+                && matches!(cause, ExitCause::Error | ExitCause::Unknown)
             {
                 job.failures += 1;
                 job.failed_on.insert(on.clone());
                 // One job that fails everywhere says nothing about machines, so it
                 // waits longer each time; several failing here condemn the machine.
                 if job.fails() {
-                    self.failing.insert(key.0.job.clone());
+                    self.failing.insert(key.task.job.clone());
                     job.back_off(now);
                 }
-                m.failed_jobs.insert(key.0.job.clone(), now);
+                m.failures.record(key.task.job.clone(), now);
                 let jobs = &self.jobs;
                 let fair = m
-                    .failed_jobs
-                    .keys()
+                    .failures
+                    .jobs()
                     .filter(|j| jobs.get(*j).is_none_or(|j| !j.fails()));
-                if fair.count() >= 2 && !m.draining {
+                if fair.count() >= 2 && m.is_schedulable() {
                     tracing::info!(partition = %self.id, machine = %on, "machine fails tasks of several jobs: drained");
-                    m.draining = true;
+                    m.quarantine();
                 }
             }
         }
-        tracing::debug!(partition = %self.id, task = %key.0, attempt = %key.1, ?cause, machine = %on, "attempt ended");
+        tracing::debug!(partition = %self.id, task = %key.task, attempt = %key.attempt, ?cause, machine = %on, "attempt ended");
         self.requeue(&key, on);
     }
 }
--- a/src/partition_owner/mod.rs
+++ b/src/partition_owner/mod.rs
@@ -26,7 +26,7 @@
 use crate::store::client::TokenBucket;
 use crate::store::{Compare, Mutation};
 use crate::watch_cache::WatchCache;
-use crate::workers::{AttemptKey, DirectCommand, Machine, Phase, ReleaseState};
+use crate::workers::{AttemptKey, AttemptPhase, DirectCommand, Machine, TaskDemand};
 use crate::zones::ZoneEvacuation;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -152,7 +152,7 @@
     Read(Micros),
     Reading,
     /// None: the record does not say.
-    Known(Option<(usize, Resources)>),
+    Known(Option<TaskDemand>),
 }
 
 /// A hand-back that is not settled yet.
@@ -245,12 +245,12 @@
     /// Stops all that a cancelled job has, or may have, on machines.
     fn stop_job(&mut self, id: &JobId) {
         for (at, m) in &mut self.machines {
-            if !m.attempts.keys().any(|(t, _)| t.job == *id) {
+            if !m.attempts.keys().any(|key| key.task.job == *id) {
                 continue;
             }
-            m.stop(0.0, |(t, _)| t.job == *id);
-            for ((t, _), a) in &mut m.attempts {
-                a.may_be_reaped |= t.job == *id;
+            m.stop(0.0, |key| key.task.job == *id);
+            for (key, a) in &mut m.attempts {
+                a.may_be_reaped |= key.task.job == *id;
             }
             self.pending_commands.insert(at.clone());
         }
@@ -263,11 +263,11 @@
 
     /// An attempt is over without a result.
     fn requeue(&mut self, key: &AttemptKey, on: &MachineId) {
-        if let Some(job) = self.jobs.get_mut(&key.0.job)
-            && job.active.get(&key.0.index) == Some(on)
+        if let Some(job) = self.jobs.get_mut(&key.task.job)
+            && job.active.get(&key.task.index) == Some(on)
         {
-            job.requeue(key.0.index);
-            self.dirty.insert(key.0.job.clone());
+            job.requeue(key.task.index);
+            self.dirty.insert(key.task.job.clone());
         }
         self.pass_pending = true;
     }
@@ -277,8 +277,8 @@
         if let Some(m) = self.machines.get_mut(id) {
             let load = m.compute_load();
             if load != m.load {
-                self.usage.remove(&m.load, m.capacity);
-                self.usage.add(&load, m.capacity);
+                self.usage.remove(&m.load, m.spec.capacity);
+                self.usage.add(&load, m.spec.capacity);
                 m.load = load;
             }
         }
@@ -346,23 +346,27 @@
         let (mut over, mut ended) = (Vec::new(), Vec::new());
         let mut displaced: Vec<(JobId, String)> = Vec::new();
         for (id, m) in &mut self.machines {
-            let busy = m.unconfirmed || m.attempts.values().any(|t| t.phase != Phase::Exited);
+            let busy =
+                m.is_unconfirmed() || m.attempts.values().any(|t| t.phase != AttemptPhase::Exited);
             if busy && now.since(m.lease_started_at()) > over_after {
                 tracing::info!(partition = %self.id, machine = %id, "worker's lease is over");
                 let keys = m.expire();
-                displaced.extend(keys.iter().map(|k| (k.0.job.clone(), m.zone.clone())));
+                displaced.extend(
+                    keys.iter()
+                        .map(|k| (k.task.job.clone(), m.spec.zone.clone())),
+                );
                 ended.extend(keys.into_iter().map(|k| (k, id.clone())));
                 over.push(id.clone());
             }
-            let since = m.last_heard_at.map_or(Micros::ZERO, |h| now.since(h));
+            let since = m.last_contact_at().map_or(Micros::ZERO, |h| now.since(h));
             if since > quiet && since < silence {
                 // Better to know before something is started there.
-                m.needs_probe = true;
+                m.request_probe();
             }
-            if m.needs_probe || m.unconfirmed && intro {
+            if m.needs_probe() || m.is_unconfirmed() && intro {
                 self.pending_commands.insert(id.clone());
             }
-            if let Some(at) = m.preempted_at {
+            if let Some(at) = m.preempted_at() {
                 // What saves does so just before the cloud takes the machine.
                 let saves = |t: &crate::workers::Attempt| {
                     t.desc
@@ -372,7 +376,7 @@
                 let due: Vec<(AttemptKey, f64)> = m
                     .attempts
                     .iter()
-                    .filter(|(_, t)| t.phase == Phase::Running && t.stop_grace_period_s.is_none())
+                    .filter(|(_, t)| t.phase == AttemptPhase::Running && !t.is_stopping())
                     .filter_map(|(k, t)| Some((k, saves(t)?)))
                     .filter(|(_, (mark, save))| {
                         *mark > 0.0 && at.since(now) < Micros::from_secs(save + NOTICE_MARGIN_S)
@@ -410,21 +414,21 @@
         for m in self
             .machines
             .values()
-            .filter(|m| {
-                m.last_heard_at.is_none() && m.release_state == ReleaseState::Active && !m.draining
-            })
+            .filter(|m| m.last_contact_at().is_none() && m.is_active() && m.is_schedulable())
             .filter(|m| !self.is_in_lost_zone(m))
         {
             let alike = |c: &&mut PendingMachines<'_>| {
-                c.machine_type == m.machine_type && c.zone == m.zone && c.spot == m.spot
+                c.machine_type == m.spec.machine_type
+                    && c.zone == m.spec.zone
+                    && c.spot == m.spec.spot
             };
             match coming.iter_mut().find(alike) {
                 Some(c) => c.count += 1,
                 None => coming.push(PendingMachines {
-                    capacity: m.capacity,
-                    machine_type: &m.machine_type,
-                    zone: &m.zone,
-                    spot: m.spot,
+                    capacity: m.spec.capacity,
+                    machine_type: &m.spec.machine_type,
+                    zone: &m.spec.zone,
+                    spot: m.spec.spot,
                     count: 1,
                 }),
             }
@@ -441,10 +445,15 @@
         let heard = self.heard_within();
         let usable = |m: &&Machine| placement::accepts_tasks(m, now, heard);
         let cores =
-            |ms: &mut dyn Iterator<Item = &Machine>| ms.map(|m| m.capacity.cores).sum::<f64>();
+            |ms: &mut dyn Iterator<Item = &Machine>| ms.map(|m| m.spec.capacity.cores).sum::<f64>();
         let used: f64 = self.machines.values().map(|m| m.load.summed.cores).sum();
         let up = cores(&mut self.machines.values().filter(usable));
-        let booting = cores(&mut self.machines.values().filter(|m| m.last_heard_at.is_none()));
+        let booting = cores(
+            &mut self
+                .machines
+                .values()
+                .filter(|m| m.last_contact_at().is_none()),
+        );
         let mut waiting: BTreeMap<&str, u32> = BTreeMap::new();
         for j in self.jobs.values().filter(|j| j.wants_machines()) {
             *waiting.entry(&j.desc.class).or_default() += j.waiting.len();
@@ -459,7 +468,7 @@
     pub fn team_heaviness(&mut self, fleet: Resources) -> BTreeMap<String, f64> {
         let mut weights = UsageByTeam::new(&self.teams);
         for m in self.machines.values() {
-            weights.add(&m.load, m.capacity);
+            weights.add(&m.load, m.spec.capacity);
         }
         self.usage = weights;
         let all = self.settings.guarantees();
--- a/src/partition_owner/reconcile.rs
+++ b/src/partition_owner/reconcile.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::jobs::dependencies::{DependencyGraph, Readiness};
 use crate::jobs::page_tasks;
-use crate::workers::ReleaseState;
+use crate::workers::{Machine, MachineSpec};
 
 impl OwnedPartition {
     /// Takes over what the cache has. What ran before is learnt from reports:
@@ -25,7 +25,7 @@
 
     /// The store was read from the start while we held the partition all along.
     pub fn reload(&mut self, now: Micros, cache: &WatchCache, types: &[MachineType]) {
-        let known = self.machines.values().map(|m| m.shard);
+        let known = self.machines.values().map(|m| m.spec.shard);
         let shards: BTreeSet<u32> = known
             .chain(cache.shards(self.id).map(|(n, ..)| n))
             .collect();
@@ -54,7 +54,7 @@
             let found = cache.machine(id);
             found.filter(|((b, _), r)| *b == self.id && r.release_reason.is_none())
         };
-        let of_shard = self.machines.iter().filter(|(_, m)| m.shard == shard);
+        let of_shard = self.machines.iter().filter(|(_, m)| m.spec.shard == shard);
         let mut lost: Vec<MachineId> = Vec::new();
         for (id, _) in of_shard {
             if in_partition(id).is_none() {
@@ -65,11 +65,11 @@
             // The leader takes a machine out only after the cloud has said that it
             // and all that was on it are gone; or we gave it up, idle.
             if let Some(mut m) = self.machines.remove(&id) {
-                self.usage.remove(&m.load, m.capacity);
+                self.usage.remove(&m.load, m.spec.capacity);
                 let keys = m.expire();
                 tracing::info!(partition = %self.id, machine = %id, lost = keys.len(), "machine left the block");
                 for key in keys {
-                    self.displace(&key.0.job, &m.zone);
+                    self.displace(&key.task.job, &m.spec.zone);
                     self.requeue(&key, &id);
                 }
             }
@@ -79,13 +79,9 @@
         };
         for (id, r) in rec.0.iter().filter(|(_, r)| r.release_reason.is_none()) {
             if let Some(m) = self.machines.get_mut(id) {
-                m.shard = shard;
+                m.spec.shard = shard;
                 m.used |= r.used;
-                if m.release_state == ReleaseState::Indeterminate && *revision > m.release_revision
-                {
-                    // The shard has changed since: the late write fails by itself.
-                    m.release_state = ReleaseState::Active;
-                }
+                m.record_shard_revision(*revision);
                 continue;
             }
             let machine_type = types.iter().find(|t| t.name == r.machine_type);
@@ -94,19 +90,21 @@
             let mut m = Machine::new(
                 now,
                 term,
-                &r.machine_type,
-                &r.zone,
-                r.spot,
-                capacity,
-                &r.addr,
+                MachineSpec {
+                    machine_type: r.machine_type.clone(),
+                    zone: r.zone.clone(),
+                    spot: r.spot,
+                    capacity,
+                    addr: r.addr.clone(),
+                    shard,
+                    image_fetch_gb_per_s: machine_type.map_or(1.0, |t| t.fetch_gb_per_s),
+                },
             );
-            m.shard = shard;
-            m.unconfirmed = at_grant && r.used;
+            m.set_unconfirmed(at_grant && r.used);
             m.minimum_charge_paid = r.used;
             m.used = r.used;
-            m.image_fetch_gb_per_s = machine_type.map_or(1.0, |t| t.fetch_gb_per_s);
             m.load = m.compute_load();
-            self.usage.add(&m.load, m.capacity);
+            self.usage.add(&m.load, m.spec.capacity);
             self.machines.insert(id.clone(), m);
         }
         self.count_unconfirmed(now);
@@ -187,19 +185,19 @@
 
     pub(super) fn count_unconfirmed(&mut self, now: Micros) {
         let mut silent: Vec<SilentMachines> = Vec::new();
-        for m in self.machines.values().filter(|m| m.unconfirmed) {
-            let capacity = (m.capacity != Resources::default()).then_some(m.capacity);
+        for m in self.machines.values().filter(|m| m.is_unconfirmed()) {
+            let capacity = (m.spec.capacity != Resources::default()).then_some(m.spec.capacity);
             let alike = |s: &SilentMachines| {
-                s.machine_type == m.machine_type
-                    && s.zone == m.zone
-                    && s.spot == m.spot
+                s.machine_type == m.spec.machine_type
+                    && s.zone == m.spec.zone
+                    && s.spot == m.spec.spot
                     && s.capacity == capacity
             };
             if !silent.iter().any(alike) {
                 silent.push(SilentMachines {
-                    machine_type: m.machine_type.clone(),
-                    zone: m.zone.clone(),
-                    spot: m.spot,
+                    machine_type: m.spec.machine_type.clone(),
+                    zone: m.spec.zone.clone(),
+                    spot: m.spec.spot,
                     capacity,
                 });
             }
--- a/src/partition_owner/records.rs
+++ b/src/partition_owner/records.rs
@@ -7,7 +7,7 @@
 use crate::placement::{self, CapacityRequest};
 use crate::store::{self, Compare, Mutation, Reply, TXN_BYTES, compare, keys};
 use crate::watch_cache::WatchCache;
-use crate::workers::{AttemptKey, Machine, ReleaseState};
+use crate::workers::{AttemptKey, Machine, ReleaseOutcome};
 
 /// A job's progress is batched for this long, and longer where all partitions' progress
 /// would take more of the store's changes than its part.
@@ -109,7 +109,7 @@
             // nothing of the job was reaped, until its owner could not read all that its
             // machines reported in time.
             if let Some(ended) = self.unreaped.get_mut(&id) {
-                let stored = |(_, key): &mut (MachineId, AttemptKey)| !job.is_dirty(key.0.index);
+                let stored = |(_, key): &mut (MachineId, AttemptKey)| !job.is_dirty(key.task.index);
                 reap.extend(ended.extract_if(.., stored));
             }
             jobs.push((id, pages));
@@ -156,30 +156,22 @@
             Write::GiveUp(ids) => {
                 self.writing_machines = false;
                 match reply {
-                    Reply::Committed(_) => self.leave(&ids, ReleaseState::Released),
+                    Reply::Committed(_) => self.leave(&ids, ReleaseOutcome::Committed),
                     // Surely not done, and it never will be: they stay ours.
-                    Reply::Conflict(_) | Reply::Rejected => self.leave(&ids, ReleaseState::Active),
+                    Reply::Conflict(_) | Reply::Rejected => {
+                        self.leave(&ids, ReleaseOutcome::Rejected)
+                    }
                     // It may still be done, so they are not used meanwhile.
-                    _ => self.leave(&ids, ReleaseState::Indeterminate),
+                    _ => self.leave(&ids, ReleaseOutcome::Indeterminate),
                 }
             }
         }
     }
 
-    fn leave(&mut self, ids: &[MachineId], to: ReleaseState) {
+    fn leave(&mut self, ids: &[MachineId], outcome: ReleaseOutcome) {
         for id in ids {
-            let Some(m) = self.machines.get_mut(id) else {
-                continue;
-            };
-            // Its shard has changed since the write was sent, which has failed by itself.
-            // Guards against giving up a machine that is in use again: the write's answer,
-            // or that there was none, may be heard of later than the change.
-            let settled = m.release_state == ReleaseState::Active;
-            // What an earlier write left unsure, a later conflict can't settle.
-            let unsure =
-                m.release_state == ReleaseState::Indeterminate && to == ReleaseState::Active;
-            if !settled && !unsure {
-                m.release_state = to;
+            if let Some(m) = self.machines.get_mut(id) {
+                m.record_release_outcome(outcome);
             }
         }
     }
@@ -217,9 +209,9 @@
                 if let Some(t) = m.and_then(|m| m.attempts.get_mut(&key)) {
                     t.may_be_reaped = true;
                 }
-            } else if self.jobs.contains_key(&key.0.job) {
+            } else if self.jobs.contains_key(&key.task.job) {
                 self.unreaped
-                    .entry(key.0.job.clone())
+                    .entry(key.task.job.clone())
                     .or_default()
                     .push((machine, key));
             }
@@ -231,7 +223,7 @@
     fn change_shards(
         &mut self,
         cache: &WatchCache,
-        mut change: impl FnMut(&MachineId, &mut Machine, &mut crate::partitions::MachineRecord) -> bool,
+        mut change: impl FnMut(&mut Machine, &mut crate::partitions::MachineRecord, Revision) -> bool,
         write: impl Fn(Vec<MachineId>) -> Write,
     ) -> Option<Effect> {
         let (mut ids, mut compares, mut mutations, mut bytes) =
@@ -260,8 +252,7 @@
                     continue;
                 };
                 let mut rec = old_rec.clone();
-                if change(id, m, &mut rec) {
-                    m.release_revision = revision;
+                if change(m, &mut rec, revision) {
                     new.get_or_insert_with(|| (**old).clone())
                         .0
                         .insert(id.clone(), rec);
@@ -289,8 +280,7 @@
     /// Records machines that were heard for the first time as used, before the
     /// first launch there.
     pub fn record_used_machines(&mut self, now: Micros, cache: &WatchCache) -> Option<Effect> {
-        let new =
-            |m: &Machine| !m.used && m.has_reported && m.release_state == ReleaseState::Active;
+        let new = |m: &Machine| !m.used && m.has_sent_heartbeat() && m.is_active();
         // Batched: many come up at once, and the cache may lag behind our own last
         // write, so that the next one would fail as fast as the store can answer.
         if self.writing_machines || now.since(self.last_open) < OPEN_GAP || !self.to_open {
@@ -298,11 +288,11 @@
         }
         self.last_open = now;
         self.to_open = false;
-        let open = |_: &MachineId, m: &mut Machine, rec: &mut crate::partitions::MachineRecord| {
+        let open = |m: &mut Machine, rec: &mut crate::partitions::MachineRecord, _: Revision| {
             let opens = new(m) && !rec.used;
             if opens {
                 rec.used = true;
-                rec.addr.clone_from(&m.addr);
+                rec.addr.clone_from(&m.spec.addr);
             }
             opens
         };
@@ -330,39 +320,48 @@
         } else {
             self.recovered_at
         };
-        let go = |_: &MachineId, m: &mut Machine, rec: &mut crate::partitions::MachineRecord| {
-            if m.release_state == ReleaseState::Indeterminate && m.is_empty() {
-                // Tried before without an answer: again, since it may be done.
-                rec.release_reason = Some(ReleaseReason::Return);
-                return true;
-            }
-            if !placement::accepts_tasks(m, now, heard) || !m.is_empty() {
-                return false;
-            }
-            let idle = now.since(m.idle_since.max(idle_from));
-            let fits = |n: &CapacityRequest| n.fits(&m.machine_type, &m.zone, m.spot, &m.capacity);
-            let idle_return = if m.spot {
-                policy.idle_return
-            } else {
-                policy.idle_return_ordinary
-            };
-            // Less than a minute is charged as a minute. Guards against counting it from
-            // each failover anew: under a roll of restarts nothing was returned.
-            let charged = m.minimum_charge_paid || now.since(m.added_at) >= LEAST_CHARGED;
-            if idle >= idle_return && charged {
-                rec.release_reason = Some(ReleaseReason::Return);
-            } else if idle >= Micros::from_millis(1_000) && !own.iter().any(fits) {
-                let Some(l) = lacking.iter_mut().find(|(n, left)| *left > 0 && fits(n)) else {
+        let go =
+            |m: &mut Machine, rec: &mut crate::partitions::MachineRecord, revision: Revision| {
+                if m.release_state().is_indeterminate() && m.is_empty() {
+                    // Tried before without an answer: again, since it may be done.
+                    rec.release_reason = Some(ReleaseReason::Return);
+                    m.request_release(revision);
+                    return true;
+                }
+                if !placement::accepts_tasks(m, now, heard) || !m.is_empty() {
                     return false;
+                }
+                let idle = now.since(m.idle_since().max(idle_from));
+                let fits = |n: &CapacityRequest| {
+                    n.fits(
+                        &m.spec.machine_type,
+                        &m.spec.zone,
+                        m.spec.spot,
+                        &m.spec.capacity,
+                    )
                 };
-                l.1 = l.1.saturating_sub(l.0.request.times_in(&m.capacity));
-                rec.release_reason = Some(ReleaseReason::Move);
-            } else {
-                return false;
-            }
-            m.release_state = ReleaseState::Requested;
-            true
-        };
+                let idle_return = if m.spec.spot {
+                    policy.idle_return
+                } else {
+                    policy.idle_return_ordinary
+                };
+                // Less than a minute is charged as a minute. Guards against counting it from
+                // each failover anew: under a roll of restarts nothing was returned.
+                let charged = m.minimum_charge_paid || now.since(m.added_at()) >= LEAST_CHARGED;
+                if idle >= idle_return && charged {
+                    rec.release_reason = Some(ReleaseReason::Return);
+                } else if idle >= Micros::from_millis(1_000) && !own.iter().any(fits) {
+                    let Some(l) = lacking.iter_mut().find(|(n, left)| *left > 0 && fits(n)) else {
+                        return false;
+                    };
+                    l.1 = l.1.saturating_sub(l.0.request.times_in(&m.spec.capacity));
+                    rec.release_reason = Some(ReleaseReason::Move);
+                } else {
+                    return false;
+                }
+                m.request_release(revision);
+                true
+            };
         let effect = self.change_shards(cache, go, Write::GiveUp)?;
         self.last_give_up = now;
         Some(effect)
--- a/src/partition_owner/starts.rs
+++ b/src/partition_owner/starts.rs
@@ -5,7 +5,7 @@
 use crate::fairness::Resources;
 use crate::ids::{AttemptId, MachineId, TaskId};
 use crate::placement::{self, CandidateMachines, PassLimits, Placement, PlacementPass, Victim};
-use crate::workers::{Attempt, DirectCommand, Phase, ReleaseState};
+use crate::workers::{Attempt, AttemptKey, AttemptPhase, CommandRoute, DirectCommand};
 
 /// After an attempt to connect failed.
 pub(super) const DIRECT_AGAIN: Micros = Micros::from_millis(1_000);
@@ -66,7 +66,7 @@
     fn hold(&mut self, placed: &PlacementPass) {
         for id in std::mem::take(&mut self.held) {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.held_for = None;
+                m.reservations.release_hold();
             }
         }
         let Some((job, ids)) = &placed.held else {
@@ -74,7 +74,7 @@
         };
         for id in ids {
             if let Some(m) = self.machines.get_mut(id) {
-                m.held_for = Some(job.clone());
+                m.reservations.hold_for(job.clone());
             }
         }
         self.held.clone_from(ids);
@@ -127,18 +127,15 @@
                 // Until these have ended, no others of it are tried.
                 job.back_off(now);
             }
-            let t = Attempt::new(Phase::Launching, now, Some((job.team, &job.desc)));
+            let t = Attempt::new(AttemptPhase::Launching, now, Some((job.team, &job.desc)));
             m.images.insert(job.desc.image_key());
-            if let Some(r) = m.reserved.iter_mut().find(|r| r.job == c.job) {
-                r.count = r.count.saturating_sub(1);
-            }
-            m.reserved.retain(|r| r.count > 0 && r.until > now);
+            m.reservations.consume(&c.job, now);
             tracing::debug!(partition = %self.id, term = %self.term, job = %c.job, task = c.index, %attempt, machine = %c.machine, "start");
             let task = TaskId {
                 job: c.job,
                 index: c.index,
             };
-            m.attempts.insert((task, attempt), t);
+            m.attempts.insert(AttemptKey { task, attempt }, t);
             self.update_usage(&c.machine);
             if tell {
                 self.pending_commands.insert(c.machine);
@@ -159,17 +156,11 @@
                 grace_period_s,
             } in &s.victims
             {
-                tracing::debug!(partition = %self.id, task = %key.0, attempt = %key.1, r#for = %s.reserve.job, "preempt");
+                tracing::debug!(partition = %self.id, task = %key.task, attempt = %key.attempt, r#for = %s.reserve.job, "preempt");
                 m.stop(*grace_period_s, |k| k == key);
             }
             self.pending_commands.insert(s.machine.clone());
-            match m.reserved.iter_mut().find(|r| r.job == s.reserve.job) {
-                Some(r) => {
-                    r.count += s.reserve.count;
-                    r.until = s.reserve.until;
-                }
-                None => m.reserved.push(s.reserve),
-            }
+            m.reservations.add(s.reserve);
         }
     }
 
@@ -186,37 +177,32 @@
             if self.directs_out + out.len() >= MOST_DIRECTS {
                 break;
             }
-            let Some(m) = self
-                .machines
-                .get_mut(id)
-                .filter(|m| m.release_state == ReleaseState::Active)
-            else {
+            let Some(m) = self.machines.get_mut(id).filter(|m| m.is_active()) else {
                 done.push(id.clone());
                 continue;
             };
             // Once to learn the session, once under it; more would only pile up
             // behind a cut, and the machine's own next report does as well.
-            let introduce = m.unconfirmed && m.token_commands <= 1;
+            let introduce = m.is_unconfirmed() && m.token_commands() <= 1;
             let reachable = m.has_no_command_in_transit()
-                && m.last_heard_at.is_some_and(|h| now.since(h) < heard_within);
-            let word =
-                m.needs_direct_command() && (reachable && m.agent_epoch > 0 || m.needs_probe);
-            if !introduce && !word || m.addr.is_empty() {
-                if !m.direct_command_in_flight {
+                && m.last_contact_at()
+                    .is_some_and(|h| now.since(h) < heard_within);
+            let word = m.needs_direct_command()
+                && (reachable && m.has_known_agent_epoch() || m.needs_probe());
+            if !introduce && !word || m.spec.addr.is_empty() {
+                if !m.has_direct_command_in_flight() {
                     done.push(id.clone());
                 }
                 continue;
             }
-            if m.direct_command_in_flight || now < m.next_direct_command_at {
+            if m.has_direct_command_in_flight() || now < m.next_direct_command_at() {
                 continue;
             }
-            m.token_commands += u32::from(introduce);
-            m.record_direct_command_sent();
-            m.next_direct_command_at = now + DIRECT_GAP;
+            m.record_direct_command_sent(introduce, now + DIRECT_GAP);
             // A direct command goes out under the token that was shown; orders only
             // to those whose picture counts.
             let orders = if reachable {
-                m.commands(false)
+                m.commands(CommandRoute::Direct)
             } else {
                 Vec::new()
             };
@@ -227,7 +213,7 @@
             };
             out.push(Effect::SendDirectCommand(
                 id.clone(),
-                m.addr.clone(),
+                m.spec.addr.clone(),
                 direct,
             ));
         }
--- a/src/partition_owner/tests.rs
+++ b/src/partition_owner/tests.rs
@@ -6,7 +6,7 @@
 use crate::settings::tests::settings;
 use crate::store::{Reply, WatchEvent, keys};
 use crate::subsystems::Subsystems;
-use crate::workers::tests::report;
+use crate::workers::tests::heartbeat;
 use crate::zones::ZoneSituation;
 
 fn secs(s: f64) -> Micros {
@@ -67,7 +67,7 @@
     fn report(&mut self, now: Micros) {
         self.sequence += 1;
         let token = FencingToken::of(Term(3), 0);
-        let r = report("m-1", 1, self.sequence, token, &[]);
+        let r = heartbeat("m-1", 1, self.sequence, token, &[]);
         let fleet = Resources::new(16.0, 0.0, 64.0);
         self.h
             .handle_heartbeat(now, now, fleet, now + secs(9.0), &r);
@@ -92,7 +92,7 @@
     let fleet = Resources::new(32.0, 0.0, 128.0);
     let both = |b: &mut Bench, now: Micros| {
         b.report(now);
-        let r = report("m-2", 1, b.sequence, FencingToken::of(Term(3), 0), &[]);
+        let r = heartbeat("m-2", 1, b.sequence, FencingToken::of(Term(3), 0), &[]);
         b.h.handle_heartbeat(now, now, fleet, now + secs(9.0), &r);
     };
     for s in [2.0, 4.0] {
@@ -147,8 +147,8 @@
     b.h.handle_store_reply(secs(105.5), second, &Reply::Indeterminate);
     assert_eq!(b.release_idle_machines(secs(106.0)), None);
     assert_eq!(
-        b.h.machines[&"m-1".into()].release_state,
-        ReleaseState::Active
+        b.h.machines[&"m-1".into()].release_state(),
+        crate::workers::ReleaseState::Active
     );
 }
 
@@ -232,7 +232,7 @@
     });
     let config = on.zone_failover.expect("on");
     b.h.update_zones(secs(1.0), &config, &situation);
-    let r = report("m-2", 1, 1, FencingToken::of(Term(3), 0), &[]);
+    let r = heartbeat("m-2", 1, 1, FencingToken::of(Term(3), 0), &[]);
     b.h.handle_heartbeat(secs(1.0), secs(1.0), Resources::default(), secs(9.0), &r);
     b
 }
--- a/src/partition_owner/zones.rs
+++ b/src/partition_owner/zones.rs
@@ -8,7 +8,7 @@
 use crate::ids::{JobId, MachineId, ZoneId};
 use crate::jobs::{Job, JobDesc};
 use crate::placement;
-use crate::workers::{Attempt, AttemptKey, Machine, Phase, ReleaseState, Reserved};
+use crate::workers::{Attempt, AttemptKey, AttemptPhase, Machine, Reservation};
 use crate::zones::{ZoneEvacuation, ZoneFailoverConfig, ZoneSituation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -67,7 +67,7 @@
 
     /// Whether a machine's zone is lost: what boots there may not come up.
     pub(super) fn is_in_lost_zone(&self, m: &Machine) -> bool {
-        let state = |evacuation: &ZoneEvacuation| evacuation.situation.state(&m.zone);
+        let state = |evacuation: &ZoneEvacuation| evacuation.situation.state(&m.spec.zone);
         self.zone_evacuation.as_ref().map(state) == Some(ZoneState::Lost)
     }
 
@@ -90,11 +90,11 @@
 
     pub(super) fn is_silent(&self, now: Micros, m: &Machine) -> bool {
         let least = self.longest_gap();
-        match m.last_heard_at {
-            Some(heard) => now.since(heard.max(self.listening).max(m.added_at)) > least,
+        match m.last_contact_at() {
+            Some(heard) => now.since(heard.max(self.listening).max(m.added_at())) > least,
             None => {
                 let least = least.max(LEAST_SILENCE_AFTER_TAKE_OVER);
-                m.unconfirmed && now.since(m.added_at.max(self.listening)) > least
+                m.is_unconfirmed() && now.since(m.added_at().max(self.listening)) > least
             }
         }
     }
@@ -120,11 +120,11 @@
             counts.entry(zone).or_default().waiting = waiting;
         }
         for (id, m) in &self.machines {
-            let has_been_up = m.last_heard_at.is_some() || m.unconfirmed;
-            if !has_been_up || m.release_state != ReleaseState::Active {
+            let has_been_up = m.last_contact_at().is_some() || m.is_unconfirmed();
+            if !has_been_up || !m.is_active() {
                 continue;
             }
-            let zone = ZoneId::from(m.zone.as_str());
+            let zone = ZoneId::from(m.spec.zone.as_str());
             let is_silent = self.is_silent(now, m);
             let is_held_back = is_silent && evacuation.is_held_back(&zone, id);
             let of_zone = counts.entry(zone).or_default();
@@ -226,14 +226,17 @@
         let old = |job: &&Job| job.may_have_begun_before(self.term, self.revision);
         let of_old = first(self.jobs.values().filter(old).map(priority));
         for (id, m) in &self.machines {
-            let Some((zone, _)) = lost.get_key_value(m.zone.as_str()) else {
+            let Some((zone, _)) = lost.get_key_value(m.spec.zone.as_str()) else {
                 continue;
             };
-            if m.release_state != ReleaseState::Active || !self.is_silent(now, m) {
+            if !m.is_active() || !self.is_silent(now, m) {
                 continue;
             }
-            let on_it = m.attempts.keys().filter_map(|(t, _)| self.jobs.get(&t.job));
-            let highest = if m.unconfirmed {
+            let on_it = m
+                .attempts
+                .keys()
+                .filter_map(|key| self.jobs.get(&key.task.job));
+            let highest = if m.is_unconfirmed() {
                 of_old
             } else {
                 first(on_it.map(priority))
@@ -295,19 +298,19 @@
         let mut room: BTreeMap<&MachineId, Resources> = self
             .machines
             .iter()
-            .filter(|(_, m)| back.iter().any(|zone| zone.as_str() == m.zone))
+            .filter(|(_, m)| back.iter().any(|zone| zone.as_str() == m.spec.zone))
             .filter(|(_, m)| placement::accepts_tasks(m, now, snapshot.heartbeat_timeout))
-            .map(|(id, m)| (id, m.capacity - m.load.summed - reserved(m, now)))
+            .map(|(id, m)| (id, m.spec.capacity - m.load.summed - reserved(m, now)))
             .collect();
         let mut homeward = Vec::new();
         for (from, m) in &self.machines {
             for (key, attempt) in &m.attempts {
-                let of_zone = evacuation.displaced_from(&key.0.job);
+                let of_zone = evacuation.displaced_from(&key.task.job);
                 let Some(zone) = of_zone.filter(|z| back.contains(z)) else {
                     continue;
                 };
-                let is_home = m.zone == zone.as_str();
-                let Some(job) = self.jobs.get(&key.0.job).filter(|_| !is_home) else {
+                let is_home = m.spec.zone == zone.as_str();
+                let Some(job) = self.jobs.get(&key.task.job).filter(|_| !is_home) else {
                     continue;
                 };
                 if !may_be_moved(job, attempt) {
@@ -336,7 +339,8 @@
     ) -> Option<(EvacuatedTask<(MachineId, AttemptKey)>, MachineId)> {
         let desc = &job.desc;
         let fits = |id: &MachineId, free: &Resources| {
-            let allowed = |m: &Machine| desc.allows(&m.machine_type, &m.zone, m.spot);
+            let allowed =
+                |m: &Machine| desc.allows(&m.spec.machine_type, &m.spec.zone, m.spec.spot);
             desc.request().fits_in(free) && self.machines.get(id).is_some_and(allowed)
         };
         let (home, _) = room.iter().find(|(id, free)| fits(id, free))?;
@@ -348,7 +352,7 @@
         let here = self.hourly(at, desc)?;
         let there = self.hourly(home_machine, desc)?;
         let left_s = (desc.estimated_run_time_s - ran).max(0.0);
-        let fetch_s = desc.image_gb / home_machine.image_fetch_gb_per_s.max(0.01);
+        let fetch_s = desc.image_gb / home_machine.spec.image_fetch_gb_per_s.max(0.01);
         let again_s = desc.checkpoint_duration_s + RESTART_S + fetch_s;
         let task = EvacuatedTask {
             key: (from.clone(), key.clone()),
@@ -363,18 +367,18 @@
 
     /// What a task's share of a machine costs in an hour.
     fn hourly(&self, m: &Machine, desc: &JobDesc) -> Option<f64> {
-        let of_type = |t: &&MachineType| t.name == m.machine_type;
+        let of_type = |t: &&MachineType| t.name == m.spec.machine_type;
         let machine_type = self.types.iter().find(of_type)?;
-        let price = if m.spot {
+        let price = if m.spec.spot {
             machine_type.spot_price
         } else {
             machine_type.price
         };
-        Some(price * desc.request().share_of(&m.capacity))
+        Some(price * desc.request().share_of(&m.spec.capacity))
     }
 
     fn move_task(&mut self, now: Micros, from: &MachineId, key: &AttemptKey, home: &MachineId) {
-        let Some(job) = self.jobs.get(&key.0.job) else {
+        let Some(job) = self.jobs.get(&key.task.job) else {
             return;
         };
         let (team, request) = (job.team, job.desc.request());
@@ -386,23 +390,17 @@
         self.pending_commands.insert(from.clone());
         if let Some(m) = self.machines.get_mut(home) {
             let until = now + HOME_KEPT;
-            match m.reserved.iter_mut().find(|r| r.job == key.0.job) {
-                Some(reserved) => {
-                    reserved.count += 1;
-                    reserved.until = until;
-                }
-                None => m.reserved.push(Reserved {
-                    job: key.0.job.clone(),
-                    request,
-                    count: 1,
-                    until,
-                }),
-            }
+            m.reservations.add(Reservation {
+                job: key.task.job.clone(),
+                request,
+                count: 1,
+                until,
+            });
         }
         if let Some(evacuation) = &mut self.zone_evacuation {
             evacuation.moves(now, key.clone(), team);
         }
-        tracing::info!(partition = %self.id, task = %key.0, %from, %home, "zone: moving a running task home");
+        tracing::info!(partition = %self.id, task = %key.task, %from, %home, "zone: moving a running task home");
     }
 }
 
@@ -414,8 +412,8 @@
 /// What is kept on a machine for jobs that others were stopped for.
 fn reserved(m: &Machine, now: Micros) -> Resources {
     let mut sum = Resources::default();
-    for r in m.reserved.iter().filter(|r| r.until > now) {
-        sum += r.request.scale(f64::from(r.count));
+    for reservation in m.reservations.active(now) {
+        sum += reservation.resources();
     }
     sum
 }
@@ -426,7 +424,7 @@
     !job.desc.single_zone
         && !job.desc.anti_affinity
         && !job.ended
-        && attempt.stop_grace_period_s.is_none()
-        && attempt.abandoned.is_none()
-        && matches!(attempt.phase, Phase::Pulling | Phase::Running)
+        && !attempt.is_stopping()
+        && !attempt.is_abandoned()
+        && matches!(attempt.phase, AttemptPhase::Pulling | AttemptPhase::Running)
 }
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -40,7 +40,7 @@
         CandidateMachine {
             id,
             machine,
-            free: machine.capacity - machine.load.summed,
+            free: machine.spec.capacity - machine.load.summed,
             load: Cow::Borrowed(&machine.load),
             images: Vec::new(),
             held_for: None,
@@ -50,9 +50,9 @@
     /// What is free for a job, without what others were stopped for.
     pub(super) fn free_for(&self, id: &JobId, now: Micros) -> Resources {
         let mut free = self.free;
-        let reservations = self.machine.reserved.iter();
-        for reservation in reservations.filter(|r| r.job != *id && r.until > now) {
-            free -= reservation.request.scale(f64::from(reservation.count));
+        let reservations = self.machine.reservations.active(now);
+        for reservation in reservations.filter(|reservation| reservation.job != *id) {
+            free -= reservation.resources();
         }
         free
     }
@@ -68,13 +68,17 @@
         if self.machine.images.contains(&image) || self.images.contains(&image) {
             score += IMAGE_PRESENT_SCORE;
         } else {
-            let rate = self.machine.image_fetch_gb_per_s.max(MIN_FETCH_GB_PER_S);
+            let rate = self
+                .machine
+                .spec
+                .image_fetch_gb_per_s
+                .max(MIN_FETCH_GB_PER_S);
             score -= FETCH_SECOND_SCORE * (desc.image_gb / rate).min(MAX_FETCH_SECONDS);
         }
-        if self.machine.spot {
+        if self.machine.spec.spot {
             score += SPOT_SCORE;
         }
-        if self.machine.reserved.iter().any(|r| r.job == desc.id) {
+        if self.machine.reservations.has_any_for(&desc.id) {
             score += RESERVED_SCORE;
         }
         score
@@ -85,7 +89,7 @@
         let lacking = *request - self.free;
         lacking
             .max(Resources::default())
-            .share_of(&self.machine.capacity)
+            .share_of(&self.machine.spec.capacity)
     }
 }
 
@@ -103,18 +107,18 @@
 impl<'a> MachineKind<'a> {
     fn of(machine: &'a Machine, free: Resources) -> Self {
         MachineKind {
-            machine_type: &machine.machine_type,
-            zone: &machine.zone,
-            spot: machine.spot,
+            machine_type: &machine.spec.machine_type,
+            zone: &machine.spec.zone,
+            spot: machine.spec.spot,
             max_free: free,
             places: Vec::new(),
         }
     }
 
     fn includes(&self, machine: &Machine) -> bool {
-        self.machine_type == machine.machine_type
-            && self.zone == machine.zone
-            && self.spot == machine.spot
+        self.machine_type == machine.spec.machine_type
+            && self.zone == machine.spec.zone
+            && self.spot == machine.spec.spot
     }
 }
 
@@ -160,7 +164,7 @@
             let job = snapshot.jobs.get(*id);
             job.is_some_and(|job| !job.waiting.is_empty())
         };
-        candidate.held_for = machine.held_for.as_ref().filter(still_waits);
+        candidate.held_for = machine.reservations.held_for().filter(still_waits);
         let machines = vec![candidate];
         Some(CandidateMachines {
             kinds: kinds_of(&machines),
@@ -231,9 +235,13 @@
         self.machines_compared += self.machines.len();
         for (place, candidate) in self.machines.iter().enumerate() {
             let machine = candidate.machine;
-            if request.fits_in(&machine.capacity)
-                && desc.allows(&machine.machine_type, &machine.zone, machine.spot)
-                && is_zone_allowed(desc, by_zone, &machine.zone)
+            if request.fits_in(&machine.spec.capacity)
+                && desc.allows(
+                    &machine.spec.machine_type,
+                    &machine.spec.zone,
+                    machine.spec.spot,
+                )
+                && is_zone_allowed(desc, by_zone, &machine.spec.zone)
             {
                 lacking.push((candidate.lacking_share(&request), place));
             }
--- a/src/placement/capacity_requests.rs
+++ b/src/placement/capacity_requests.rs
@@ -4,7 +4,6 @@
 use crate::clock::Micros;
 use crate::fairness::Resources;
 use crate::jobs::{Job, JobDesc, allows_build};
-use crate::workers::ReleaseState;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
@@ -167,10 +166,14 @@
     fn has_no_machine(&self, desc: &JobDesc) -> bool {
         let request = desc.request();
         !self.snapshot.machines.values().any(|machine| {
-            machine.release_state == ReleaseState::Active
-                && !machine.draining
-                && desc.allows(&machine.machine_type, &machine.zone, machine.spot)
-                && request.fits_in(&machine.capacity)
+            machine.is_active()
+                && machine.is_schedulable()
+                && desc.allows(
+                    &machine.spec.machine_type,
+                    &machine.spec.zone,
+                    machine.spec.spot,
+                )
+                && request.fits_in(&machine.spec.capacity)
         })
     }
 
--- a/src/placement/eligibility.rs
+++ b/src/placement/eligibility.rs
@@ -3,20 +3,20 @@
 use super::FailoverRecovery;
 use crate::clock::Micros;
 use crate::jobs::Job;
-use crate::workers::{Machine, ReleaseState};
+use crate::workers::Machine;
 
 /// Whether a machine may be sent tasks now.
 pub fn accepts_tasks(machine: &Machine, now: Micros, heartbeat_timeout: Micros) -> bool {
     machine.used
-        && !machine.draining
-        && machine.release_state == ReleaseState::Active
+        && machine.is_schedulable()
+        && machine.is_active()
         && !machine.load.unknown
-        && machine.preempted_at.is_none()
-        && machine.unsent_commands == 0
+        && machine.preempted_at().is_none()
+        && machine.unsent_commands() == 0
         // Guards against work for a machine whose heartbeats reach no controller: it gets
         // direct commands, but its agent epoch ends with its lease, again and again.
         && machine
-            .last_heartbeat_at
+            .last_heartbeat_at()
             .is_some_and(|at| now.since(at) < heartbeat_timeout)
         && !machine.is_unreachable()
 }
--- a/src/placement/pass.rs
+++ b/src/placement/pass.rs
@@ -234,7 +234,7 @@
         // Others may have used a candidate since.
         while let Some(&place) = progress.candidates.last() {
             let candidate = &machines.machines[place];
-            let zone = &candidate.machine.zone;
+            let zone = &candidate.machine.spec.zone;
             if request.fits_in(&candidate.free_for(id, snapshot.now))
                 && is_zone_allowed(&job.desc, &progress.tasks_by_zone, zone)
             {
@@ -276,11 +276,11 @@
         let request = job.desc.request();
         let candidate = &mut self.machines.machines[place];
         if let Some(progress) = self.progress.get_mut(id) {
-            let zone = candidate.machine.zone.as_str();
+            let zone = candidate.machine.spec.zone.as_str();
             *progress.tasks_by_zone.entry(zone).or_default() += 1;
             progress.placed += 1;
         }
-        let capacity = candidate.machine.capacity;
+        let capacity = candidate.machine.spec.capacity;
         self.usage.remove(&candidate.load, capacity);
         candidate.load.to_mut().take(team, request);
         self.usage.add(&candidate.load, capacity);
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -9,7 +9,7 @@
 use crate::ids::{JobId, MachineId};
 use crate::jobs::{Job, Priority};
 use crate::settings::Team;
-use crate::workers::{AttemptKey, Machine, Phase, Reserved};
+use crate::workers::{AttemptKey, AttemptPhase, Machine, Reservation};
 use std::collections::{BTreeMap, BTreeSet};
 use victims::{MachinePlan, VictimSearch, starts_immediately};
 
@@ -30,7 +30,7 @@
     /// What is stopped.
     pub victims: Vec<Victim>,
     /// The room that this frees, and for whom.
-    pub reserve: Reserved,
+    pub reserve: Reservation,
 }
 
 /// What was decided to be stopped.
@@ -156,14 +156,14 @@
 /// What a machine has free for preempting work: with what is being stopped, since that was
 /// stopped for someone, and without what is reserved.
 fn free_with_stopping(machine: &Machine, now: Micros) -> Resources {
-    let mut free = machine.capacity - machine.load.summed;
+    let mut free = machine.spec.capacity - machine.load.summed;
     for attempt in machine.attempts.values() {
-        if attempt.stop_grace_period_s.is_some() && attempt.phase != Phase::Exited {
+        if attempt.is_stopping() && attempt.phase != AttemptPhase::Exited {
             free += attempt.request();
         }
     }
-    for reservation in machine.reserved.iter().filter(|r| r.until > now) {
-        free -= reservation.request.scale(f64::from(reservation.count));
+    for reservation in machine.reservations.active(now) {
+        free -= reservation.resources();
     }
     free
 }
@@ -221,17 +221,19 @@
     fn reserved_tasks(&self, id: &JobId) -> u32 {
         let machines = self.snapshot.machines.values();
         machines
-            .flat_map(|machine| &machine.reserved)
-            .filter(|r| r.job == *id && r.until > self.snapshot.now)
-            .map(|r| r.count)
+            .flat_map(|machine| machine.reservations.active(self.snapshot.now))
+            .filter(|reservation| reservation.job == *id)
+            .map(|reservation| reservation.count)
             .sum()
     }
 
     fn is_allowed(&self, id: &JobId, job: &Job, machine: &Machine) -> bool {
-        job.desc
-            .allows(&machine.machine_type, &machine.zone, machine.spot)
-            && !machine.is_avoided_by(id, self.snapshot.now)
-            && !self.snapshot.is_closed(job, &machine.zone)
+        job.desc.allows(
+            &machine.spec.machine_type,
+            &machine.spec.zone,
+            machine.spec.spot,
+        ) && !machine.is_avoided_by(id, self.snapshot.now)
+            && !self.snapshot.is_closed(job, &machine.spec.zone)
     }
 
     /// Room that another's preemption left over, for so many tasks at most; returns for how
@@ -274,7 +276,7 @@
             .iter()
             .filter(|(machine, _)| {
                 let machine = &self.snapshot.machines[**machine];
-                self.is_allowed(id, job, machine) && request.fits_in(&machine.capacity)
+                self.is_allowed(id, job, machine) && request.fits_in(&machine.spec.capacity)
             })
             .filter_map(|(machine, room)| search.on_machine(machine, *room))
             .collect();
@@ -296,22 +298,22 @@
         };
         let count = plan.count.min(pending);
         let mut load = machine.load.clone();
-        self.usage.remove(&load, machine.capacity);
+        self.usage.remove(&load, machine.spec.capacity);
         for victim in &plan.victims {
             if let Some(attempt) = machine.attempts.get(&victim.key) {
                 *room += attempt.request();
-                if let Some((team, request)) = attempt.demand {
-                    load.take(team, request.scale(-1.0));
+                if let Some(demand) = attempt.demand {
+                    load.take(demand.team, demand.request.scale(-1.0));
                 }
             }
             self.chosen.insert(victim.key.clone());
         }
-        self.usage.add(&load, machine.capacity);
+        self.usage.add(&load, machine.spec.capacity);
         *room -= request.scale(f64::from(count));
         self.plan.preemptions.push(MachinePreemption {
             machine: plan.machine.clone(),
             victims: plan.victims,
-            reserve: Reserved {
+            reserve: Reservation {
                 job: id.clone(),
                 request,
                 count,
--- a/src/placement/preemption/victims.rs
+++ b/src/placement/preemption/victims.rs
@@ -5,7 +5,7 @@
 use crate::fairness::{Resources, UsageByTeam};
 use crate::ids::MachineId;
 use crate::jobs::{Job, JobDesc};
-use crate::workers::{Attempt, AttemptKey, Phase};
+use crate::workers::{Attempt, AttemptKey, AttemptPhase};
 use std::collections::BTreeSet;
 
 /// A job must have this much slack for a task of it to be stopped, in microseconds.
@@ -174,10 +174,10 @@
 
     /// Work that another team runs above its own guarantee.
     fn is_above_guarantee(&self, attempt: &Attempt) -> bool {
-        let of_other = attempt.demand.filter(|(team, _)| *team != self.job.team);
-        of_other.is_some_and(|(team, request)| {
-            let guarantee = self.snapshot.settings.platform.teams[team].guarantee();
-            (self.usage.of(team).used - request).cores >= guarantee.cores
+        let of_other = attempt.demand.filter(|demand| demand.team != self.job.team);
+        of_other.is_some_and(|demand| {
+            let guarantee = self.snapshot.settings.platform.teams[demand.team].guarantee();
+            (self.usage.of(demand.team).used - demand.request).cores >= guarantee.cores
         })
     }
 }
@@ -185,9 +185,9 @@
 /// What stopping an attempt costs; none: it is left alone.
 fn preemption_cost(attempt: &Attempt, now: Micros) -> Option<PreemptionCost> {
     let desc = attempt.desc.as_ref()?;
-    if attempt.stop_grace_period_s.is_some()
-        || attempt.abandoned.is_some()
-        || !matches!(attempt.phase, Phase::Pulling | Phase::Running)
+    if attempt.is_stopping()
+        || attempt.is_abandoned()
+        || !matches!(attempt.phase, AttemptPhase::Pulling | AttemptPhase::Running)
     {
         return None;
     }
--- a/src/placement/zone_constraints.rs
+++ b/src/placement/zone_constraints.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::MachineId;
 use crate::jobs::{Job, JobDesc};
-use crate::workers::{Machine, Phase};
+use crate::workers::{AttemptPhase, Machine};
 use std::collections::BTreeMap;
 
 /// How many tasks of a job are, or may be, in each zone.
@@ -19,13 +19,12 @@
     }
     for machine in machines.values() {
         // Attempts, not only known tasks: one being stopped is still there.
-        let attempts = machine
-            .attempts
-            .iter()
-            .filter(|(key, attempt)| key.0.job == job.desc.id && attempt.phase != Phase::Exited);
+        let attempts = machine.attempts.iter().filter(|(key, attempt)| {
+            key.task.job == job.desc.id && attempt.phase != AttemptPhase::Exited
+        });
         let count = attempts.count() as u32;
         if count > 0 {
-            *by_zone.entry(machine.zone.as_str()).or_default() += count;
+            *by_zone.entry(machine.spec.zone.as_str()).or_default() += count;
         }
     }
     by_zone
--- /dev/null
+++ b/src/workers/liveness/tests.rs
@@ -0,0 +1,15 @@
+use crate::clock::Micros;
+use crate::workers::tests::{heartbeat, machine};
+
+#[test]
+fn a_lease_counts_from_the_start_of_its_agent_epoch_too() {
+    let mut machine = machine();
+    let first = heartbeat("m", 1, 1, machine.fencing_token(), &[]);
+    machine.reconcile(Micros::from_secs(10.0), &first);
+    machine.record_response(Micros::from_secs(10.0), &first);
+    assert_eq!(machine.lease_started_at(), Micros::from_secs(10.0));
+    // By the reply to a direct command: no response to a heartbeat renewed the lease.
+    let next = heartbeat("m", 2, 2, machine.fencing_token(), &[]);
+    machine.reconcile(Micros::from_secs(15.0), &next);
+    assert_eq!(machine.lease_started_at(), Micros::from_secs(15.0));
+}
--- /dev/null
+++ b/src/workers/machine/tests.rs
@@ -0,0 +1,32 @@
+use super::MAX_UNACKNOWLEDGED;
+use crate::clock::Micros;
+use crate::ids::FencingToken;
+use crate::workers::CommandRoute;
+use crate::workers::tests::{heartbeat, launch, machine};
+
+#[test]
+fn a_machine_that_acknowledges_no_response_is_unreachable_until_it_does() {
+    let mut machine = machine();
+    let mut unacknowledging = heartbeat("m", 1, 1, FencingToken(0), &[]);
+    for number in 1..=MAX_UNACKNOWLEDGED {
+        assert!(!machine.is_unreachable());
+        unacknowledging.heartbeat_sequence = u64::from(number);
+        machine.record_response(Micros(u64::from(number)), &unacknowledging);
+    }
+    assert!(machine.is_unreachable(), "it never showed the token");
+    machine.reconcile(
+        Micros(9),
+        &heartbeat("m", 1, 9, machine.fencing_token(), &[]),
+    );
+    assert!(!machine.is_unreachable());
+    launch(&mut machine, "j-1/0", 7);
+    for number in 10..=12 {
+        machine.reconcile(
+            Micros(number),
+            &heartbeat("m", 1, number, machine.fencing_token(), &[]),
+        );
+        assert!(!machine.is_unreachable());
+        machine.commands(CommandRoute::Response);
+    }
+    assert!(machine.is_unreachable(), "nor carried out a command");
+}
--- a/src/workers/protocol.rs
+++ b/src/workers/protocol.rs
@@ -1,4 +1,7 @@
-//! What workers report and are told: the messages of their HTTP interface.
+//! The messages of the workers' HTTP interface: heartbeats, the responses to them, and direct
+//! commands.
+//!
+//! The serde names are the interface's own and never change; the Rust names are the field's.
 
 use crate::clock::Micros;
 use crate::ids::{AttemptId, FencingToken, MachineId};
@@ -7,19 +10,19 @@
 /// How far an attempt has got.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Phase {
-    /// Ours alone: the launch was decided, no report has shown it yet.
+pub enum AttemptPhase {
+    /// Known to the owner alone: the launch was decided, no heartbeat has shown it yet.
     #[serde(skip)]
     Launching,
     /// Waiting for its image.
     Pulling,
     /// Running.
     Running,
-    /// Told to stop, and saving its progress.
+    /// Being stopped, and saving a checkpoint of its progress.
     Saving,
-    /// Over; the worker reports it until it is reaped.
+    /// Ended; the worker shows it until it is reaped.
     Exited,
-    /// One that this version does not know.
+    /// A value that this version does not know.
     #[serde(other)]
     Other,
 }
@@ -27,48 +30,48 @@
 /// Why an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitCause {
     /// It completed.
     Done,
-    /// It was told to stop.
+    /// It was stopped by a command.
     Stopped,
     /// It failed.
     Error,
-    /// Refused: not enough room on the machine.
+    /// Rejected: not enough free capacity on the machine.
     NoRoom,
-    /// Refused: another attempt of the task is on the machine.
+    /// Rejected: another attempt of the task is on the machine.
     InUse,
-    /// Refused: no such job or task.
+    /// Rejected: no such job or task.
     Unknown,
-    /// One that this version does not know.
+    /// A value that this version does not know.
     #[serde(other)]
     Other,
 }
 
-/// One attempt in a worker's report.
+/// One attempt in a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct TaskStatus {
     /// The task, as `job/index`.
     #[serde(rename = "hand")]
     pub task: String,
-    /// Which attempt of it.
+    /// Which attempt of the task.
     #[serde(rename = "try")]
     pub attempt: AttemptId,
     /// How far it has got.
     #[serde(rename = "standing")]
-    pub phase: Phase,
-    /// Why it ended.
+    pub phase: AttemptPhase,
+    /// Why it ended, once it has.
     #[serde(default)]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
 }
 
-/// A worker's report.
+/// A worker's heartbeat, with the status of all tasks on its machine.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Heartbeat {
     /// The machine's name.
     #[serde(rename = "rig")]
     pub machine: MachineId,
-    /// Where the worker takes direct commands.
+    /// The address at which the worker takes direct commands.
     pub addr: String,
     /// The machine's type.
     #[serde(rename = "build")]
@@ -76,27 +79,27 @@
     /// The machine's zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether the cloud may take the machine back.
+    /// Whether the machine is a spot instance, which the cloud may preempt.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Begins anew each time the worker's lease ends.
+    /// Increases each time the worker's lease expires, when it stops all tasks.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
-    /// Rises with each report of a session.
+    /// Increases with each heartbeat of an agent epoch.
     #[serde(rename = "tally")]
     pub heartbeat_sequence: u64,
-    /// The highest that the worker has seen.
+    /// The highest fencing token that the worker has seen.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// Seconds until the cloud takes the machine.
+    /// Seconds until the cloud preempts the machine, once it has given notice.
     #[serde(rename = "warningS", default)]
-    pub warning_s: Option<f64>,
+    pub termination_notice_s: Option<f64>,
     /// All attempts on the machine.
     #[serde(rename = "hands")]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// One thing for a worker to do.
+/// A command to a worker about one attempt.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum WorkerCommand {
@@ -105,7 +108,7 @@
         /// The task, as `job/index`.
         #[serde(rename = "hand")]
         task: String,
-        /// Which attempt of it.
+        /// Which attempt of the task.
         #[serde(rename = "try")]
         attempt: AttemptId,
     },
@@ -115,10 +118,10 @@
         /// The task, as `job/index`.
         #[serde(rename = "hand")]
         task: String,
-        /// Which attempt of it.
+        /// Which attempt of the task.
         #[serde(rename = "try")]
         attempt: AttemptId,
-        /// How long it may take to save, in seconds.
+        /// How long it may take for its checkpoint, in seconds.
         #[serde(rename = "leewayS")]
         grace_period_s: f64,
     },
@@ -127,36 +130,39 @@
         /// The task, as `job/index`.
         #[serde(rename = "hand")]
         task: String,
-        /// Which attempt of it.
+        /// Which attempt of the task.
         #[serde(rename = "try")]
         attempt: AttemptId,
     },
 }
 
-/// The answer to a report that counts.
+/// The response to a heartbeat: it renews the worker's lease.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct HeartbeatResponse {
-    /// The token under which it is given.
+    /// The fencing token under which it is sent.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
     /// What to do, in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
-    /// Not to be sent from then on: our lease may be over.
+    /// Not to be sent from this instant on: the owner's lease may have expired.
     #[serde(skip)]
     pub valid_until: Micros,
 }
 
-/// Commands sent straight to a worker.
+/// Commands that are sent straight to a worker, not in a response.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct DirectCommand {
-    /// The token under which it is given.
+    /// The fencing token under which it is sent.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// The session that it is meant for.
+    /// The agent epoch that it is meant for; the worker rejects it in another one.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
     /// What to do, in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/workers/reconcile/tests.rs
@@ -0,0 +1,66 @@
+use crate::clock::Micros;
+use crate::ids::{FencingToken, Term};
+use crate::workers::tests::{heartbeat, launch, launch_count, machine};
+use crate::workers::{AttemptEvent, CommandRoute, Heartbeat};
+
+#[test]
+fn an_abandoned_launch_is_lost_only_behind_its_fence() {
+    let mut machine = machine();
+    let key = launch(&mut machine, "j-1/0", 7);
+    let sent_token = machine.fencing_token();
+    machine.stop(0.0, |_| true);
+    assert_eq!(launch_count(&mut machine), 0);
+    assert!(
+        machine
+            .reconcile(Micros(1), &heartbeat("m", 1, 1, sent_token, &[]))
+            .is_empty()
+    );
+    let events = machine.reconcile(
+        Micros(2),
+        &heartbeat("m", 1, 2, machine.fencing_token(), &[]),
+    );
+    assert_eq!(events, vec![AttemptEvent::Lost(key)]);
+}
+
+#[test]
+fn a_new_agent_epoch_ends_all_attempts_of_the_old_one() {
+    let mut machine = machine();
+    machine.reconcile(Micros(0), &heartbeat("m", 1, 1, FencingToken(0), &[]));
+    let key = launch(&mut machine, "j-1/0", 7);
+    let events = machine.reconcile(Micros(1), &heartbeat("m", 2, 9, FencingToken(0), &[]));
+    assert_eq!(events, vec![AttemptEvent::Lost(key)]);
+    assert!(
+        !machine.is_newer(&heartbeat("m", 1, 50, FencingToken(0), &[])),
+        "a late heartbeat of the old epoch"
+    );
+}
+
+#[test]
+fn an_unconfirmed_machine_gets_no_commands_until_it_shows_the_owners_token() {
+    let mut machine = machine();
+    machine.set_unconfirmed(true);
+    launch(&mut machine, "j-1/0", 7);
+    assert!(!machine.shows_term(&heartbeat("m", 4, 1, FencingToken::of(Term(2), 5), &[])));
+    assert!(machine.commands(CommandRoute::Response).is_empty());
+    let counted = heartbeat("m", 4, 2, FencingToken::of(Term(3), 0), &[]);
+    assert!(machine.shows_term(&counted));
+    machine.reconcile(Micros(2), &counted);
+    assert!(!machine.is_unconfirmed());
+}
+
+#[test]
+fn malformed_heartbeats_are_rejected_or_change_nothing() {
+    assert!(serde_json::from_str::<Heartbeat>(r#"{"rig":"m"}"#).is_err());
+    let mut machine = machine();
+    let events = machine.reconcile(
+        Micros(1),
+        &heartbeat(
+            "m",
+            1,
+            1,
+            FencingToken(0),
+            &[("nonsense", 1, "running", "")],
+        ),
+    );
+    assert!(events.is_empty() && machine.attempts.is_empty());
+}
--- /dev/null
+++ b/src/workers/schedulability/tests.rs
@@ -0,0 +1,17 @@
+use super::Schedulability;
+
+#[test]
+fn a_cordon_is_lifted_and_a_quarantine_is_not() {
+    let mut silent = Schedulability::Open;
+    silent.cordon();
+    assert_eq!(silent, Schedulability::Cordoned);
+    silent.quarantine();
+    assert_eq!(silent, Schedulability::Cordoned);
+    silent.uncordon();
+    assert!(silent.is_open());
+    let mut failing = Schedulability::Open;
+    failing.quarantine();
+    failing.cordon();
+    failing.uncordon();
+    assert_eq!(failing, Schedulability::Quarantined);
+}
