--- a/src/autoscaler/recording.rs
+++ b/src/autoscaler/recording.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::autoscaler::shards::{PartitionBalancer, ShardTransaction};
 use crate::leader::take_terms;
-use crate::partitions::{MachineRecord, MachinesRecord, write_parts};
+use crate::partitions::{MachineRecord, ShardRecord, write_parts};
 use crate::store::{self, compare, keys};
 
 /// Shards are split no faster than this: others need the changes, too.
@@ -56,7 +56,7 @@
         if now.since(self.last_split) < SPLIT_EVERY {
             return None;
         }
-        let oversize = |rec: &MachinesRecord| rec.is_oversize(self.value_bytes);
+        let oversize = |rec: &ShardRecord| rec.is_oversize(self.value_bytes);
         let split = cache
             .machine_shards
             .iter()
--- a/src/autoscaler/shards.rs
+++ b/src/autoscaler/shards.rs
@@ -3,7 +3,7 @@
 use crate::cloud::MachineType;
 use crate::ids::{MachineId, PartitionId};
 use crate::mesh::PartitionState;
-use crate::partitions::{MachineRecord, MachinesRecord};
+use crate::partitions::{MachineRecord, ShardRecord};
 use crate::store::TXN_BYTES;
 use crate::watch_cache::WatchCache;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
     cache: &'a WatchCache,
     value_bytes: usize,
     txn_ops: usize,
-    pub shards: BTreeMap<(PartitionId, u32), MachinesRecord>,
+    pub shards: BTreeMap<(PartitionId, u32), ShardRecord>,
 }
 
 impl<'a> ShardTransaction<'a> {
@@ -28,12 +28,12 @@
 
     /// Whether no further shard can be changed beside `others` other changes.
     pub fn full(&self, others: usize) -> bool {
-        let bytes: usize = self.shards.values().map(MachinesRecord::size).sum();
+        let bytes: usize = self.shards.values().map(ShardRecord::estimated_size).sum();
         // One change is kept for the term.
         self.shards.len() + others + 1 >= self.txn_ops || bytes > TXN_BYTES
     }
 
-    fn shard(&mut self, at: (PartitionId, u32), others: usize) -> Option<&mut MachinesRecord> {
+    fn shard(&mut self, at: (PartitionId, u32), others: usize) -> Option<&mut ShardRecord> {
         if !self.shards.contains_key(&at) {
             let old = self.cache.machine_shards.get(&at);
             // One that is too large to be written is split first, in a write of its own.
--- a/src/controller/tests/formats.rs
+++ b/src/controller/tests/formats.rs
@@ -11,7 +11,7 @@
 use crate::jobs::{EndedRecord, JobRecord, ProgressRecord, page_tasks};
 use crate::mesh::{self, Message};
 use crate::partitions::{
-    FormatLevel, LeaderRecord, MachinesRecord, MemberRecord, PartitionOwnerRecord, TermRecord,
+    FormatLevel, LeaderRecord, MemberRecord, PartitionOwnerRecord, ShardRecord, TermRecord,
 };
 use crate::store::{self, KeyValue};
 use crate::watch_cache::WatchCache;
@@ -52,7 +52,7 @@
     round_trips::<Vec<MachineType>>("types");
     round_trips::<MemberRecord>("member");
     round_trips::<PartitionOwnerRecord>("holder");
-    round_trips::<MachinesRecord>("machines");
+    round_trips::<ShardRecord>("machines");
     round_trips::<JobRecord>("job");
     round_trips::<ProgressRecord>("progress");
     round_trips::<EndedRecord>("ended");
--- a/src/controller/tests/meetings.rs
+++ b/src/controller/tests/meetings.rs
@@ -10,7 +10,7 @@
 use crate::jobs::JobState;
 use crate::jobs::tests::desc;
 use crate::mesh::Message;
-use crate::partitions::MachinesRecord;
+use crate::partitions::ShardRecord;
 use crate::store::Mutation;
 use std::collections::BTreeMap;
 
@@ -214,7 +214,7 @@
         .iter()
         .filter(|(k, _)| k.contains("/machines/"));
     for (key, (_, value, _)) in shards {
-        let rec: MachinesRecord = serde_json::from_value(value.clone()).expect("a shard");
+        let rec: ShardRecord = serde_json::from_value(value.clone()).expect("a shard");
         for id in rec.0.keys() {
             at.entry(id.clone()).or_default().push(key.clone());
         }
--- a/src/controller/tests/state_limits.rs
+++ b/src/controller/tests/state_limits.rs
@@ -4,7 +4,7 @@
 use super::world::World;
 use super::*;
 use crate::ids::{JobId, PartitionId, Term};
-use crate::partitions::{MachineRecord, MachinesRecord};
+use crate::partitions::{MachineRecord, ShardRecord};
 use crate::store::{self, Mutation};
 use serde_json::{Value, json};
 
@@ -44,7 +44,7 @@
 
 /// A shard as the version in production fills it under the higher limit.
 fn old_shard(machines: usize, used: bool) -> Mutation {
-    let mut shard = MachinesRecord::default();
+    let mut shard = ShardRecord::default();
     for n in 0..machines {
         let id = MachineId::from(format!("m-{n:06}"));
         let mut rec = MachineRecord::blank(format!("{id}:1"), "big", "x", false);
@@ -159,11 +159,11 @@
     let Mutation::Set { value, .. } = old_shard(70, false) else {
         panic!("a shard");
     };
-    let shard: MachinesRecord = serde_json::from_value(value).expect("a shard");
+    let shard: ShardRecord = serde_json::from_value(value).expect("a shard");
     assert!(shard.is_oversize(VALUE_BYTES));
     let parts = shard.clone().split(VALUE_BYTES);
     assert!(parts.len() <= TXN_OPS, "{} parts", parts.len());
-    let mut joined = MachinesRecord::default();
+    let mut joined = ShardRecord::default();
     for mut part in parts {
         assert!(!part.is_oversize(VALUE_BYTES));
         // As large as they can get: in use, given up, and under a late term.
--- a/src/partition_owner/mod.rs
+++ b/src/partition_owner/mod.rs
@@ -16,7 +16,7 @@
 use crate::fairness::{Resources, UsageByTeam};
 use crate::ids::{JobId, Label, MachineId, PartitionId, Revision, Term};
 use crate::jobs::{Job, JobState};
-use crate::partitions::{MachinesRecord, PartitionOwnerRecord, ReleaseReason};
+use crate::partitions::{PartitionOwnerRecord, ReleaseReason, ShardRecord};
 use crate::placement::{
     self, CapacityRequest, ConstrainedDemand, FailoverRecovery, PendingMachines, Queues,
     SchedulingSnapshot, SilentMachines,
--- a/src/partition_owner/records.rs
+++ b/src/partition_owner/records.rs
@@ -1,6 +1,6 @@
 //! What the owner records: jobs' ends and progress, machines in use or given up.
 
-use super::{Effect, MachinesRecord, OwnedPartition, ReleaseReason, Resigning, Write};
+use super::{Effect, OwnedPartition, ReleaseReason, Resigning, ShardRecord, Write};
 use crate::clock::Micros;
 use crate::ids::{JobId, MachineId, Revision};
 use crate::partitions::{PartitionOwnerRecord, write_parts};
@@ -254,7 +254,7 @@
             if mutations.len() + parts > most || bytes > TXN_BYTES {
                 break;
             }
-            let mut new: Option<MachinesRecord> = None;
+            let mut new: Option<ShardRecord> = None;
             for (id, old_rec) in &old.0 {
                 let Some(m) = self.machines.get_mut(id) else {
                     continue;
@@ -269,7 +269,7 @@
                 }
             }
             let Some(new) = new else { continue };
-            bytes += new.size();
+            bytes += new.estimated_size();
             let parts = if oversize {
                 new.split(value_bytes)
             } else {
--- a/src/partition_owner/tests.rs
+++ b/src/partition_owner/tests.rs
@@ -29,7 +29,7 @@
         rec.used = true;
         (MachineId::from(*id), rec)
     };
-    let rec = MachinesRecord(machines.iter().map(used).collect());
+    let rec = ShardRecord(machines.iter().map(used).collect());
     let value = serde_json::to_value(rec).expect("a record");
     told(cache, keys::shard(PartitionId(0), 0), value, revision);
 }
@@ -167,7 +167,7 @@
         let rec = MachineRecord::blank("10.1.0.1:9000".into(), "big", "x", false);
         (MachineId::from(format!("m-{n}")), rec)
     };
-    let all = MachinesRecord((1..=60).map(blank).collect());
+    let all = ShardRecord((1..=60).map(blank).collect());
     let value = serde_json::to_value(&all).expect("a record");
     let key = keys::shard(PartitionId(0), 0);
     told(&mut bench.cache, key.clone(), value, 7);
@@ -210,7 +210,7 @@
             panic!("only sets")
         };
         assert!(value.to_string().len() <= 2048);
-        let part: MachinesRecord = serde_json::from_value(value).expect("a shard");
+        let part: ShardRecord = serde_json::from_value(value).expect("a shard");
         joined.extend(part.0);
     }
     assert_eq!(joined.len(), 60, "each once");
--- a/src/partitions/lease.rs
+++ b/src/partitions/lease.rs
@@ -1,71 +1,79 @@
-//! A lease of the state service that is kept up while it is wanted.
+//! A lease of the key-value store that is kept alive while it is wanted.
+//!
+//! Owns when to grant and when to renew. It must never count a lease as valid beyond what
+//! the store can have agreed to: validity runs from when a request was sent.
 
 use crate::clock::Micros;
 use crate::ids::LeaseId;
 use crate::store::{Reply, Request};
 
-/// The leader's own lease. It is shorter than a member's: losing it stops only
-/// granting and renting, so another may lead soon after a cut.
+/// How long to wait before a failed request is retried.
+const RETRY_INTERVAL: Micros = Micros::from_millis(300);
+/// A lease is renewed so many times within its time to live.
+const RENEWALS_PER_TTL: u64 = 4;
+
+/// The leader's own lease. It is shorter than a member's: losing it stops only grants and
+/// scaling, so another controller may lead soon after this one is isolated.
 #[derive(Debug)]
 pub struct Lease {
-    life: Micros,
+    ttl: Micros,
     lease_id: Option<LeaseId>,
-    renewed: Micros,
-    out: Option<Micros>,
-    not_before: Micros,
+    renewed_at: Micros,
+    in_flight_since: Option<Micros>,
+    next_attempt_at: Micros,
 }
 
-const AGAIN: Micros = Micros::from_millis(300);
-
 impl Lease {
-    /// A lease of this length, not asked for yet.
-    pub fn new(life: Micros) -> Self {
+    /// A lease with this time to live, not granted yet.
+    pub fn new(ttl: Micros) -> Self {
         Lease {
-            life,
+            ttl,
             lease_id: None,
-            renewed: Micros::ZERO,
-            out: None,
-            not_before: Micros::ZERO,
+            renewed_at: Micros::ZERO,
+            in_flight_since: None,
+            next_attempt_at: Micros::ZERO,
         }
     }
 
-    /// What to ask the store now to keep the lease up.
+    /// The request that keeps the lease alive, if one is due at `now`. The caller sends it.
     pub fn next_request(&mut self, now: Micros) -> Option<Request> {
-        if self.out.is_some() || now < self.not_before {
+        if self.in_flight_since.is_some() || now < self.next_attempt_at {
             return None;
         }
-        self.out = Some(now);
+        self.in_flight_since = Some(now);
         Some(match self.lease_id {
             Some(lease_id) => Request::RenewLease { lease_id },
-            None => Request::GrantLease { ttl: self.life },
+            None => Request::GrantLease { ttl: self.ttl },
         })
     }
 
-    /// Takes in the store's answer.
+    /// Handles the store's reply to the request in flight.
     pub fn handle_reply(&mut self, now: Micros, reply: &Reply) {
-        let sent = self.out.take().unwrap_or(now);
-        self.not_before = now + AGAIN;
+        let sent_at = self.in_flight_since.take().unwrap_or(now);
+        self.next_attempt_at = now + RETRY_INTERVAL;
         match reply {
             Reply::LeaseGranted(lease_id) => {
                 self.lease_id = Some(*lease_id);
-                self.renewed = sent;
+                self.renewed_at = sent_at;
             }
             Reply::Acknowledged => {
-                self.renewed = sent;
-                self.not_before = now + Micros(self.life.0 / 4);
+                self.renewed_at = sent_at;
+                self.next_attempt_at = now + Micros(self.ttl.0 / RENEWALS_PER_TTL);
             }
             Reply::LeaseExpired => {
                 self.lease_id = None;
-                self.not_before = now;
+                self.next_attempt_at = now;
             }
             _ => {}
         }
     }
 
-    /// The lease, if it has surely not ended yet.
+    /// The lease, while it is certain not to have expired: for three quarters of its time
+    /// to live after the last renewal was sent.
     pub fn valid_lease_id(&self, now: Micros) -> Option<LeaseId> {
+        let validity = Micros(self.ttl.0 * 3 / 4);
         self.lease_id
-            .filter(|_| now.since(self.renewed) < Micros(self.life.0 * 3 / 4))
+            .filter(|_| now.since(self.renewed_at) < validity)
     }
 }
 
--- a/src/partitions/lease/tests.rs
+++ b/src/partitions/lease/tests.rs
@@ -1,31 +1,33 @@
 use super::*;
 
 #[test]
-fn a_lease_that_ended_is_taken_anew() {
-    let mut l = Lease::new(Micros::from_secs(6.0));
-    let t = Micros::from_secs(1.0);
+fn an_expired_lease_is_granted_anew() {
+    let mut lease = Lease::new(Micros::from_secs(6.0));
+    let granted_at = Micros::from_secs(1.0);
     assert!(matches!(
-        l.next_request(t),
+        lease.next_request(granted_at),
         Some(Request::GrantLease { .. })
     ));
-    l.handle_reply(t, &Reply::LeaseGranted(LeaseId(3)));
-    assert_eq!(l.valid_lease_id(t), Some(LeaseId(3)));
+    lease.handle_reply(granted_at, &Reply::LeaseGranted(LeaseId(3)));
+    assert_eq!(lease.valid_lease_id(granted_at), Some(LeaseId(3)));
     assert_eq!(
-        l.valid_lease_id(Micros::from_secs(6.0)),
+        lease.valid_lease_id(Micros::from_secs(6.0)),
         None,
-        "counted from when it was sent"
+        "counted from when the request was sent"
     );
-    let t = Micros::from_secs(2.0);
+
+    let expired_at = Micros::from_secs(2.0);
     assert_eq!(
-        l.next_request(t),
+        lease.next_request(expired_at),
         Some(Request::RenewLease {
             lease_id: LeaseId(3)
         })
     );
-    l.handle_reply(t, &Reply::LeaseExpired);
-    assert_eq!(l.valid_lease_id(t), None);
+    lease.handle_reply(expired_at, &Reply::LeaseExpired);
+
+    assert_eq!(lease.valid_lease_id(expired_at), None);
     assert!(matches!(
-        l.next_request(t),
+        lease.next_request(expired_at),
         Some(Request::GrantLease { .. })
     ));
 }
--- a/src/partitions/membership.rs
+++ b/src/partitions/membership.rs
@@ -1,24 +1,38 @@
-//! This controller's own membership: its lease, and how long it may act.
+//! This controller's own membership: its lease, its member key, and until when it may act.
+//!
+//! Owns the steps from no membership to a registered one, and back after the lease expired.
+//! It must never extend the right to act beyond what the store can have agreed to: validity
+//! runs from when a request was sent, not from when its reply came.
 
 use super::{FormatLevel, MemberRecord};
 use crate::clock::Micros;
 use crate::ids::{Label, LeaseId, Revision};
-use crate::store::{self, Reply, Request, compare, keys};
+use crate::store::{self, KeyValue, Reply, Request, compare, keys};
 
+/// How long to wait before a failed request is retried.
+const RETRY_INTERVAL: Micros = Micros::from_millis(300);
+/// A member renews its lease so many times within the lease's time to live.
+const RENEWALS_PER_TTL: u64 = 6;
+
+/// How far the registration of this incarnation is.
 #[derive(Debug, Clone, PartialEq)]
-enum State {
-    /// Looking for what an earlier incarnation left.
-    Start,
-    Ending(LeaseId),
-    Leasing,
+enum Registration {
+    /// Reading the member key that an earlier incarnation may have left.
+    ReadingPredecessor,
+    /// Revoking the lease of an earlier incarnation.
+    RevokingPredecessor(LeaseId),
+    /// Being granted a lease.
+    GrantingLease,
+    /// Writing the member key under the granted lease.
     Registering {
         lease_id: LeaseId,
-        leased: Micros,
+        granted_at: Micros,
     },
-    In {
+    /// A member.
+    Registered {
         lease_id: LeaseId,
         incarnation: Revision,
-        renewed: Micros,
+        renewed_at: Micros,
     },
 }
 
@@ -27,142 +41,174 @@
 pub struct Membership {
     label: Label,
     addr: String,
-    lease: Micros,
+    ttl: Micros,
     lease_validity: Micros,
-    state: State,
-    /// When the request that is out was sent.
-    out: Option<Micros>,
-    not_before: Micros,
+    registration: Registration,
+    in_flight_since: Option<Micros>,
+    next_attempt_at: Micros,
 }
 
-const AGAIN: Micros = Micros::from_millis(300);
-
 impl Membership {
-    /// Not a member yet. `act_for` is how long it may act after a renewal or a reading.
-    pub fn new(label: Label, addr: String, lease: Micros, lease_validity: Micros) -> Self {
+    /// Not a member yet. `ttl` is the time to live of the member lease, `lease_validity` how
+    /// long the controller may act after a renewal or a read of the changes was sent.
+    pub fn new(label: Label, addr: String, ttl: Micros, lease_validity: Micros) -> Self {
         Membership {
             label,
             addr,
-            lease,
+            ttl,
             lease_validity,
-            state: State::Start,
-            out: None,
-            not_before: Micros::ZERO,
+            registration: Registration::ReadingPredecessor,
+            in_flight_since: None,
+            next_attempt_at: Micros::ZERO,
         }
     }
 
-    /// What to ask the store now, if anything.
+    /// The next request to the store, if one is due at `now`. The caller sends it.
     pub fn next_request(&mut self, now: Micros) -> Option<Request> {
-        if self.out.is_some() || now < self.not_before {
+        if self.in_flight_since.is_some() || now < self.next_attempt_at {
             return None;
         }
-        let request = match &self.state {
-            State::Start => Request::Get {
+        self.in_flight_since = Some(now);
+        Some(match self.registration {
+            Registration::ReadingPredecessor => Request::Get {
                 key: keys::member(&self.label),
             },
-            State::Ending(lease_id) => Request::RevokeLease {
-                lease_id: *lease_id,
-            },
-            State::Leasing => Request::GrantLease { ttl: self.lease },
-            State::Registering { lease_id, .. } => {
-                let rec = MemberRecord {
-                    addr: self.addr.clone(),
-                    lease_id: *lease_id,
-                    format: FormatLevel::NEWEST,
-                };
-                let key = keys::member(&self.label);
-                Request::CompareAndSwap {
-                    compares: vec![compare(key.clone(), Revision(0))],
-                    mutations: vec![store::put_with_lease(key, &rec, *lease_id)],
-                }
-            }
-            State::In { lease_id, .. } => Request::RenewLease {
-                lease_id: *lease_id,
-            },
+            Registration::RevokingPredecessor(lease_id) => Request::RevokeLease { lease_id },
+            Registration::GrantingLease => Request::GrantLease { ttl: self.ttl },
+            Registration::Registering { lease_id, .. } => self.register(lease_id),
+            Registration::Registered { lease_id, .. } => Request::RenewLease { lease_id },
+        })
+    }
+
+    fn register(&self, lease_id: LeaseId) -> Request {
+        let record = MemberRecord {
+            addr: self.addr.clone(),
+            lease_id,
+            format: FormatLevel::NEWEST,
         };
-        self.out = Some(now);
-        Some(request)
+        let key = keys::member(&self.label);
+        Request::CompareAndSwap {
+            compares: vec![compare(key.clone(), Revision(0))],
+            mutations: vec![store::put_with_lease(key, &record, lease_id)],
+        }
     }
 
-    /// Takes in the store's answer.
+    /// Handles the store's reply to the request in flight.
     pub fn handle_reply(&mut self, now: Micros, reply: &Reply) {
-        let sent = self.out.take().unwrap_or(now);
-        self.not_before = now;
-        self.state = match (&self.state, reply) {
-            (State::Start, Reply::NotFound) => State::Leasing,
-            // The process that registered this is dead, since it was us: nobody
-            // needs to wait for its lease.
-            (State::Start, Reply::Value(row)) => {
-                match serde_json::from_value::<MemberRecord>(row.value.clone()) {
-                    Ok(rec) => State::Ending(rec.lease_id),
-                    Err(_) => State::Leasing,
-                }
-            }
-            (State::Ending(_), Reply::Acknowledged | Reply::LeaseExpired) => State::Start,
-            (State::Leasing, Reply::LeaseGranted(lease_id)) => State::Registering {
-                lease_id: *lease_id,
-                leased: sent,
-            },
-            (State::Registering { lease_id, leased }, Reply::Committed(revision)) => State::In {
-                lease_id: *lease_id,
-                incarnation: *revision,
-                renewed: *leased,
-            },
-            // No answer to the registration, or our own late one: look again.
-            (
-                State::Registering { .. },
-                Reply::Indeterminate | Reply::Conflict(_) | Reply::LeaseExpired,
-            ) => State::Start,
-            (State::In { .. }, Reply::LeaseExpired) => State::Start,
-            (
-                State::In {
-                    lease_id,
-                    incarnation,
-                    ..
-                },
-                Reply::Acknowledged,
-            ) => {
-                self.not_before = now + Micros(self.lease.0 / 6);
-                // From when it was sent: the store may have counted from then on.
-                State::In {
-                    lease_id: *lease_id,
-                    incarnation: *incarnation,
-                    renewed: sent,
-                }
-            }
-            (state, _) => {
-                self.not_before = now + AGAIN;
-                state.clone()
+        let sent_at = self.in_flight_since.take().unwrap_or(now);
+        match self.registration.after(reply, sent_at) {
+            Some(registration) => {
+                let is_renewed = matches!(
+                    (&self.registration, reply),
+                    (Registration::Registered { .. }, Reply::Acknowledged)
+                );
+                let wait = if is_renewed {
+                    Micros(self.ttl.0 / RENEWALS_PER_TTL)
+                } else {
+                    Micros::ZERO
+                };
+                self.next_attempt_at = now + wait;
+                self.registration = registration;
             }
-        };
+            None => self.next_attempt_at = now + RETRY_INTERVAL,
+        }
     }
 
-    /// What names this incarnation, while it is a member.
+    /// The revision that names this incarnation, while it is a member.
     pub fn incarnation(&self) -> Option<Revision> {
-        match self.state {
-            State::In { incarnation, .. } => Some(incarnation),
+        match self.registration {
+            Registration::Registered { incarnation, .. } => Some(incarnation),
             _ => None,
         }
     }
 
-    /// The lease that its key is attached to.
+    /// The lease to which the member key is attached, while it is a member.
     pub fn lease_id(&self) -> Option<LeaseId> {
-        match self.state {
-            State::In { lease_id, .. } => Some(lease_id),
+        match self.registration {
+            Registration::Registered { lease_id, .. } => Some(lease_id),
             _ => None,
         }
     }
 
-    /// Until when this controller may act for its partitions. `read` is when the
-    /// newest reading of the changes was asked for: whoever renews but does not
-    /// hear of cancellations must stop as well.
-    pub fn may_act_until(&self, read: Micros) -> Micros {
-        match self.state {
-            State::In { renewed, .. } => renewed.min(read) + self.lease_validity,
+    /// Until when this controller may act for its partitions. `last_read_at` is when the
+    /// newest read of the changes was sent: a controller that renews its lease but does not
+    /// receive cancellations must stop as well.
+    pub fn may_act_until(&self, last_read_at: Micros) -> Micros {
+        match self.registration {
+            Registration::Registered { renewed_at, .. } => {
+                renewed_at.min(last_read_at) + self.lease_validity
+            }
             _ => Micros::ZERO,
         }
     }
 }
 
+impl Registration {
+    /// The state after the reply to a request sent at `sent_at`; none if the request has to
+    /// be retried.
+    fn after(&self, reply: &Reply, sent_at: Micros) -> Option<Registration> {
+        match (self, reply) {
+            (Registration::ReadingPredecessor, Reply::NotFound) => {
+                Some(Registration::GrantingLease)
+            }
+            (Registration::ReadingPredecessor, Reply::Value(row)) => {
+                Some(Registration::after_predecessor(row))
+            }
+            (
+                Registration::RevokingPredecessor(_),
+                Reply::Acknowledged | Reply::LeaseExpired,
+            )
+            // The registration is indeterminate, or the key is our own late write: start anew.
+            | (
+                Registration::Registering { .. },
+                Reply::Indeterminate | Reply::Conflict(_) | Reply::LeaseExpired,
+            )
+            | (Registration::Registered { .. }, Reply::LeaseExpired) => {
+                Some(Registration::ReadingPredecessor)
+            }
+            (Registration::GrantingLease, Reply::LeaseGranted(lease_id)) => {
+                Some(Registration::Registering {
+                    lease_id: *lease_id,
+                    granted_at: sent_at,
+                })
+            }
+            (
+                Registration::Registering {
+                    lease_id,
+                    granted_at,
+                },
+                Reply::Committed(revision),
+            ) => Some(Registration::Registered {
+                lease_id: *lease_id,
+                incarnation: *revision,
+                renewed_at: *granted_at,
+            }),
+            // From when the renewal was sent: the store may count the lease from then on.
+            (
+                Registration::Registered {
+                    lease_id,
+                    incarnation,
+                    ..
+                },
+                Reply::Acknowledged,
+            ) => Some(Registration::Registered {
+                lease_id: *lease_id,
+                incarnation: *incarnation,
+                renewed_at: sent_at,
+            }),
+            _ => None,
+        }
+    }
+
+    /// The process that registered the key under this label is dead, since this one took its
+    /// place: nobody needs to wait until its lease expires.
+    fn after_predecessor(row: &KeyValue) -> Registration {
+        serde_json::from_value::<MemberRecord>(row.value.clone())
+            .map_or(Registration::GrantingLease, |predecessor| {
+                Registration::RevokingPredecessor(predecessor.lease_id)
+            })
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/watch_cache/mod.rs
+++ b/src/watch_cache/mod.rs
@@ -7,8 +7,8 @@
 use crate::ids::{JobId, Label, MachineId, PartitionId, Revision};
 use crate::jobs::{JobRecord, ProgressRecord};
 use crate::partitions::{
-    FormatLevel, FormatRecord, LeaderRecord, MachineRecord, MachinesRecord, MemberRecord,
-    PartitionOwnerRecord, TermRecord,
+    FormatLevel, FormatRecord, LeaderRecord, MachineRecord, MemberRecord, PartitionOwnerRecord,
+    ShardRecord, TermRecord,
 };
 use crate::store::{KeyValue, WatchEvent};
 use serde::de::DeserializeOwned;
@@ -38,7 +38,7 @@
     /// Who holds each partition.
     pub partition_owners: Table<PartitionId, PartitionOwnerRecord>,
     /// Each partition's machines, in shards.
-    pub machine_shards: Table<(PartitionId, u32), Rc<MachinesRecord>>,
+    pub machine_shards: Table<(PartitionId, u32), Rc<ShardRecord>>,
     /// Where each machine is recorded.
     pub(crate) machine_locations: BTreeMap<MachineId, (PartitionId, u32)>,
     /// Jobs that are not over.
@@ -188,7 +188,7 @@
     fn put_shard(
         &mut self,
         at: (PartitionId, u32),
-        record: Option<Rc<MachinesRecord>>,
+        record: Option<Rc<ShardRecord>>,
         revision: Revision,
     ) {
         if let Some((_, old)) = self.machine_shards.get(&at) {
@@ -220,7 +220,7 @@
     pub fn shards(
         &self,
         b: PartitionId,
-    ) -> impl Iterator<Item = (u32, Revision, &Rc<MachinesRecord>)> {
+    ) -> impl Iterator<Item = (u32, Revision, &Rc<ShardRecord>)> {
         self.machine_shards
             .range((b, 0)..=(b, u32::MAX))
             .map(|((_, n), (revision, rec))| (*n, *revision, rec))
--- a/src/watch_cache/tests.rs
+++ b/src/watch_cache/tests.rs
@@ -5,7 +5,7 @@
     let rec = |ids: &[&str]| {
         let all = ids.iter().map(|id| (*id).into());
         let blank = |id: MachineId| (id, MachineRecord::blank(String::new(), "big", "x", false));
-        serde_json::to_value(MachinesRecord(all.map(blank).collect())).expect("a record")
+        serde_json::to_value(ShardRecord(all.map(blank).collect())).expect("a record")
     };
     let mut m = WatchCache::default();
     m.apply(
