--- a/src/autoscaler/recording.rs
+++ b/src/autoscaler/recording.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::autoscaler::shards::{PartitionBalancer, ShardTransaction};
-use crate::leader::take_terms;
+use crate::leader::{TermAllocation, allocate_terms};
 use crate::partitions::{MachineRecord, ShardRecord, write_parts};
 use crate::store::{self, compare, keys};
 
@@ -39,7 +39,11 @@
     /// has put it into another, since each names only the shards that it changes. All
     /// of them name the term's key, so none is carried out after this.
     pub(super) fn fence(&mut self, cache: &WatchCache, leader: &Compare) -> Effect {
-        let (_, term_cond, term_op) = take_terms(cache, 1);
+        let TermAllocation {
+            compare: term_cond,
+            mutation: term_op,
+            ..
+        } = allocate_terms(cache, 1);
         self.writing = true;
         Effect::CompareAndSwap(Write::Fence, vec![leader.clone(), term_cond], vec![term_op])
     }
@@ -141,7 +145,11 @@
             tracing::debug!(machine = %id, partition = %to, "adopted");
         }
         // Machines given up for others: to where they are lacking, or back.
-        let (term, term_cond, term_op) = take_terms(cache, 1);
+        let TermAllocation {
+            first: term,
+            compare: term_cond,
+            mutation: term_op,
+        } = allocate_terms(cache, 1);
         let mut new_term = false;
         for id in &self.moves {
             let Some((at, rec)) = cache.machine(id) else {
--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -373,6 +373,6 @@
     }
 
     fn leading(&self) -> Option<store::Compare> {
-        leader::as_leader(&self.cache, &self.settings.label, self.member.incarnation())
+        leader::leadership_compare(&self.cache, &self.settings.label, self.member.incarnation())
     }
 }
--- a/src/controller/core/leading.rs
+++ b/src/controller/core/leading.rs
@@ -71,7 +71,7 @@
             } else {
                 leader::CandidateState::IsolatedOwner
             };
-            if leader::candidacy(
+            if leader::may_campaign(
                 &self.cache,
                 &label,
                 incarnation,
@@ -137,7 +137,7 @@
             || now.since(since) > Micros::from_millis(2_000)
         {
             let fit = |l: &Label| self.fit(now, l);
-            let grants = leader::grants(
+            let grants = leader::grant_partitions(
                 &self.cache,
                 leader_cond.clone(),
                 &self.settings,
--- a/src/controller/core/readings.rs
+++ b/src/controller/core/readings.rs
@@ -143,7 +143,7 @@
         let partitions = self.policy.partition_count(s);
         let teams = (0..s.platform.teams.len())
             .map(|t| {
-                let b = leader::block_of(&self.cache, s, partitions, t);
+                let b = leader::partition_of(&self.cache, s, partitions, t);
                 let rec = self.cache.partition_owners.get(&b);
                 rec.map_or((b, Revision(0), Term(0)), |(revision, rec)| {
                     (b, *revision, rec.term)
