--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -326,7 +326,7 @@
                 });
             }
             Effect::Mesh(message) => {
-                if let Some(frame) = mesh::encode(&message) {
+                if let Ok(frame) = mesh::encode(&message) {
                     for peer in &self.peers {
                         // A peer that does not take it gets the next one, and its watch
                         // tells it what it has to know.
--- a/src/mesh/tests.rs
+++ b/src/mesh/codec/tests.rs
@@ -1,8 +1,13 @@
 use super::*;
+use crate::clock::Micros;
+use crate::ids::{PartitionId, Revision, Term};
+use crate::mesh::{PartitionState, PeerState};
+use crate::placement::CapacityRequest;
+use zone_failover::evidence::{ZoneCounts, ZoneEvidence};
 
 #[test]
-fn frames_round_trip_and_other_versions_are_skipped() {
-    let news = PeerState {
+fn frames_round_trip_and_those_of_other_versions_are_dropped() {
+    let state = PeerState {
         sender: "c0".into(),
         incarnation: Revision(3),
         store_reachable: true,
@@ -20,24 +25,25 @@
         revision: Revision(7),
     };
     let frame = encode(&cancelled).expect("encodes");
-    assert_eq!(decode(&frame), Some(cancelled));
-    let news = Message::PeerState(news);
-    let frame = encode(&news).expect("encodes");
-    assert_eq!(decode(&frame), Some(news));
+    assert_eq!(decode(&frame), Ok(cancelled));
+    let state = Message::PeerState(state);
+    let frame = encode(&state).expect("encodes");
+    assert_eq!(decode(&frame), Ok(state));
     let mut other = frame.to_vec();
     other[0] = 9;
-    assert_eq!(decode(&other), None);
-    assert_eq!(decode(&frame[..5]), None);
-    assert_eq!(decode(b""), None);
+    assert_eq!(decode(&other), Err(DecodeError::OtherVersion(9)));
+    let end_of_frame = DecodeError::Malformed(postcard::Error::DeserializeUnexpectedEnd);
+    assert_eq!(decode(&frame[..5]), Err(end_of_frame.clone()));
+    assert_eq!(decode(b""), Err(end_of_frame));
 }
 
 fn bytes(hex: &str) -> Vec<u8> {
     let hex = hex.replace(' ', "");
-    let byte = |i: usize| u8::from_str_radix(&hex[i..i + 2], 16).expect("a byte");
+    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("a byte");
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-/// Read and written again, byte by byte as before.
+/// Decodes a frame, and checks that encoding gives the same bytes again.
 fn round_trip(hex: &str) -> Message {
     let frame = bytes(hex);
     let message = decode(&frame).expect(hex);
@@ -47,15 +53,15 @@
 
 #[test]
 fn every_kind_of_message_keeps_its_bytes() {
-    // Two partitions, and of each yes or no the other one than in the production fixtures.
-    let need =
+    // Two partitions, and of each boolean the other value than in the production fixtures.
+    let capacity_request =
         "0000000000000440 000000000000f03f 0000000000003040 00 00 00 ac02 000000000000e03f 00";
-    let partition = format!("ac02 f0a204 01 {need} 02 036d2d31 036d2d32");
+    let partition = format!("ac02 f0a204 01 {capacity_request} 02 036d2d31 036d2d32");
     let state = round_trip(&format!(
         "02 00 026331 ac02 00 01 02 {partition} 00 00 00 00"
     ));
     let request = crate::fairness::Resources::new(2.5, 1.0, 16.0);
-    let needs = vec![CapacityRequest {
+    let capacity_requests = vec![CapacityRequest {
         request,
         machine_types: None,
         zone: None,
@@ -64,14 +70,19 @@
         estimated_run_time_s: 0.5,
         waited_long: false,
     }];
-    let partition = |partition, term, needs, dead| PartitionState {
+    let partition = |partition, term, capacity_requests, releasable_machines| PartitionState {
         received_at: Micros::ZERO,
         partition: PartitionId(partition),
         term: Term(term),
-        capacity_requests: needs,
-        releasable_machines: dead,
+        capacity_requests,
+        releasable_machines,
     };
-    let full = partition(300, 70_000, needs, vec!["m-1".into(), "m-2".into()]);
+    let full = partition(
+        300,
+        70_000,
+        capacity_requests,
+        vec!["m-1".into(), "m-2".into()],
+    );
     let expected = PeerState {
         sender: "c1".into(),
         incarnation: Revision(300),
@@ -89,7 +100,6 @@
 
 #[test]
 fn zone_evidence_keeps_its_bytes() {
-    use zone_failover::evidence::ZoneCounts;
     let zones = "02 0178 ac02 28 03 02 8101 0179 05 00 01 00 00";
     let evidence = round_trip(&format!("02 02 026331 ac02 f0a204 {zones}"));
     let counts =
@@ -112,7 +122,11 @@
     };
     assert_eq!(evidence, Message::ZoneEvidence(expected));
     round_trip("02 02 00 00 00 00");
-    assert_eq!(decode(&bytes("02 03 00")), None, "a kind that is not known");
+    assert_eq!(
+        decode(&bytes("02 03 00")),
+        Err(DecodeError::Malformed(postcard::Error::SerdeDeCustom)),
+        "an unknown kind of message"
+    );
 }
 
 #[test]
@@ -120,6 +134,6 @@
     use tokio_util::codec::Encoder;
     let mut sent = bytes::BytesMut::new();
     let frame = Bytes::from(bytes("0201036a2d3107"));
-    codec().encode(frame, &mut sent).expect("it fits");
+    framing().encode(frame, &mut sent).expect("it fits");
     assert_eq!(sent[..], bytes("00000007 0201036a2d3107"));
 }
