--- /dev/null
+++ b/src/api/answers.rs
@@ -0,0 +1,200 @@
+//! The answers to users and workers, and their form in HTTP.
+//!
+//! Owns the mapping to status, headers and JSON. The texts and the names in the bodies are
+//! the protocol: they must never change.
+
+use super::read_index::JobLookup;
+use crate::ids::{JobId, Label};
+use crate::jobs::{EndedRecord, JobState, Refusal};
+use crate::workers::HeartbeatResponse;
+use salvo::http::StatusCode;
+use salvo::http::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
+use salvo::prelude::Response;
+use serde_json::{Value, json};
+
+/// When a user should retry what can't be answered now, in seconds.
+const RETRY_AFTER_S: HeaderValue = HeaderValue::from_static("1");
+
+/// Why a user's request is rejected for good.
+#[derive(Debug, PartialEq, thiserror::Error)]
+pub(super) enum ApiError {
+    /// It can't be read, or a field is missing or invalid.
+    #[error("{0}")]
+    Malformed(String),
+    /// There is no such job.
+    #[error("no such job")]
+    UnknownJob,
+    /// It can never run here.
+    #[error("{0}")]
+    NeverRuns(String),
+}
+
+impl ApiError {
+    pub(super) fn status(&self) -> StatusCode {
+        match self {
+            ApiError::Malformed(_) => StatusCode::BAD_REQUEST,
+            ApiError::UnknownJob => StatusCode::NOT_FOUND,
+            ApiError::NeverRuns(_) => StatusCode::UNPROCESSABLE_ENTITY,
+        }
+    }
+}
+
+impl From<Refusal> for ApiError {
+    fn from(refusal: Refusal) -> Self {
+        match refusal {
+            Refusal::Malformed(reason) => ApiError::Malformed(reason),
+            Refusal::NeverRuns(reason) => ApiError::NeverRuns(reason),
+        }
+    }
+}
+
+/// How many tasks of a job are done and how many run.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct TaskCounts {
+    pub(super) done: u32,
+    pub(super) running: u32,
+}
+
+/// The answer to a user's request.
+#[derive(Debug, PartialEq)]
+pub(super) enum UserAnswer {
+    /// The request was carried out: the job is in this state.
+    Job {
+        status: StatusCode,
+        id: JobId,
+        state: JobState,
+        counts: Option<TaskCounts>,
+    },
+    /// Final: a retry does not help.
+    Rejected(ApiError),
+    /// Can't be decided or accepted now: the user should retry.
+    Unavailable(&'static str),
+}
+
+/// The answer while the store can't be reached.
+pub(super) const STORE_UNREACHABLE: UserAnswer =
+    UserAnswer::Unavailable("the state service can't be reached");
+
+impl UserAnswer {
+    /// A submission that is rejected for good.
+    pub(super) fn rejected_submission(refusal: Refusal) -> Self {
+        tracing::info!(?refusal, "submission rejected");
+        UserAnswer::Rejected(refusal.into())
+    }
+
+    /// The state of a job that is known to have been accepted: then a lookup that does not
+    /// find it must not be answered with "no such job".
+    pub(super) fn known_job(lookup: JobLookup, id: &JobId) -> Self {
+        match lookup {
+            JobLookup::Live {
+                state,
+                done,
+                running,
+                ..
+            } => UserAnswer::Job {
+                status: StatusCode::OK,
+                id: id.clone(),
+                state,
+                counts: Some(TaskCounts { done, running }),
+            },
+            JobLookup::Ended(record) => UserAnswer::ended_job(&record, id),
+            JobLookup::NotFound | JobLookup::Unavailable => STORE_UNREACHABLE,
+        }
+    }
+
+    /// The state of an ended job.
+    pub(super) fn ended_job(record: &EndedRecord, id: &JobId) -> Self {
+        let done = match record.state {
+            JobState::Done => record.tasks,
+            _ => 0,
+        };
+        UserAnswer::Job {
+            status: StatusCode::OK,
+            id: id.clone(),
+            state: record.state,
+            counts: Some(TaskCounts { done, running: 0 }),
+        }
+    }
+
+    pub(super) fn status(&self) -> StatusCode {
+        match self {
+            UserAnswer::Job { status, .. } => *status,
+            UserAnswer::Rejected(error) => error.status(),
+            UserAnswer::Unavailable(_) => StatusCode::SERVICE_UNAVAILABLE,
+        }
+    }
+
+    fn body(&self) -> Value {
+        match self {
+            UserAnswer::Job {
+                id, state, counts, ..
+            } => {
+                let mut body = json!({"id": id, "standing": state});
+                if let Some(counts) = counts {
+                    body["done"] = counts.done.into();
+                    body["running"] = counts.running.into();
+                }
+                body
+            }
+            UserAnswer::Rejected(error) => json!({"error": error.to_string()}),
+            UserAnswer::Unavailable(reason) => json!({"error": reason}),
+        }
+    }
+
+    /// Writes the answer to the response.
+    pub(super) fn render(&self, response: &mut Response) {
+        if matches!(self, UserAnswer::Unavailable(_)) {
+            response.headers_mut().insert(RETRY_AFTER, RETRY_AFTER_S);
+        }
+        send_json(response, self.status(), &self.body());
+    }
+}
+
+/// The answer to a worker's heartbeat.
+#[derive(Debug, PartialEq)]
+pub(super) enum WorkerAnswer {
+    /// The fencing token and the commands.
+    Accepted(HeartbeatResponse),
+    /// The heartbeat can't be read.
+    Malformed(&'static str),
+    /// The controller that owns the machine's partition.
+    Redirect(Label),
+    /// The heartbeat can't be answered here now.
+    Unavailable(&'static str),
+}
+
+impl WorkerAnswer {
+    pub(super) fn status(&self) -> StatusCode {
+        match self {
+            WorkerAnswer::Accepted(_) => StatusCode::OK,
+            WorkerAnswer::Malformed(_) => StatusCode::BAD_REQUEST,
+            WorkerAnswer::Redirect(_) => StatusCode::MISDIRECTED_REQUEST,
+            WorkerAnswer::Unavailable(_) => StatusCode::SERVICE_UNAVAILABLE,
+        }
+    }
+
+    pub(super) fn body(&self) -> Value {
+        match self {
+            WorkerAnswer::Accepted(response) => json!(response),
+            WorkerAnswer::Redirect(label) => json!({"answerTo": label}),
+            WorkerAnswer::Malformed(reason) | WorkerAnswer::Unavailable(reason) => {
+                json!({"error": reason})
+            }
+        }
+    }
+
+    /// Writes the answer to the response.
+    pub(super) fn render(&self, response: &mut Response) {
+        send_json(response, self.status(), &self.body());
+    }
+}
+
+/// Writes a status and a JSON body to the response.
+pub(super) fn send_json(response: &mut Response, status: StatusCode, body: &Value) {
+    response.status_code(status);
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    // It fails only where the response has a body already.
+    let _ = response.write_body(body.to_string());
+}
--- /dev/null
+++ b/src/api/cancellations.rs
@@ -0,0 +1,92 @@
+//! The endpoint that cancels a job.
+//!
+//! A cancellation is an idempotent request: a repeat is answered with the state in which the
+//! job ended.
+
+use super::answers::{ApiError, STORE_UNREACHABLE, UserAnswer};
+use super::context::{ApiContext, MAX_WRITE_ATTEMPTS, job_in_path};
+use super::ports::CancelledJob;
+use super::read_index::JobLookup;
+use crate::clock::wall_clock_now;
+use crate::ids::{JobId, Revision};
+use crate::jobs::{EndedRecord, JobState};
+use crate::store::{self, Reply, compare, keys};
+use salvo::http::StatusCode;
+use salvo::prelude::{Request, Response, handler};
+
+/// `POST /v1/jobs/{id}/abort`.
+pub(super) struct CancelHandler(pub(super) ApiContext);
+
+#[handler]
+impl CancelHandler {
+    async fn handle(&self, request: &mut Request, response: &mut Response) {
+        let id = job_in_path(request);
+        self.0.cancel(&id).await.render(response);
+    }
+}
+
+impl ApiContext {
+    /// Cancels a job, unless it ended before.
+    pub(super) async fn cancel(&self, id: &str) -> UserAnswer {
+        let id = JobId::from(id);
+        if !id.is_well_formed() {
+            return UserAnswer::Rejected(ApiError::UnknownJob);
+        }
+        for _ in 0..MAX_WRITE_ATTEMPTS {
+            let (revision, ended) = match self.look_up_job(&id).await {
+                JobLookup::Live {
+                    revision,
+                    tasks,
+                    footprint,
+                    ..
+                } => {
+                    let ended = EndedRecord {
+                        state: JobState::Cancelled,
+                        tasks,
+                        footprint: Some(footprint),
+                        ended_at: Some(wall_clock_now()),
+                    };
+                    (revision, ended)
+                }
+                JobLookup::NotFound => return UserAnswer::Rejected(ApiError::UnknownJob),
+                JobLookup::Unavailable => return STORE_UNREACHABLE,
+                found => return UserAnswer::known_job(found, &id),
+            };
+            match self.execute(cancellation(&id, revision, &ended)).await {
+                Reply::Committed(revision) => return self.cancelled(id, revision),
+                // Another write came first: the job has ended, or its record has changed.
+                Reply::Conflict(_) => {}
+                _ => return STORE_UNREACHABLE,
+            }
+        }
+        UserAnswer::Unavailable("the job changes too often just now")
+    }
+
+    /// The store has committed a cancellation at this revision.
+    fn cancelled(&self, id: JobId, revision: Revision) -> UserAnswer {
+        let job = id.clone();
+        // If the queue is full, the owner of the job's partition reads it from the store.
+        let notification = CancelledJob { job, revision };
+        let _ = self.ports.cancellations.try_send(notification);
+        UserAnswer::Job {
+            status: StatusCode::OK,
+            id,
+            state: JobState::Cancelled,
+            counts: None,
+        }
+    }
+}
+
+/// The compare-and-swap that ends a job whose record was read at `revision`.
+fn cancellation(id: &JobId, revision: Revision, ended: &EndedRecord) -> store::Request {
+    store::Request::CompareAndSwap {
+        compares: vec![
+            compare(keys::job(id), revision),
+            compare(keys::ended(id), Revision(0)),
+        ],
+        mutations: vec![
+            store::delete(keys::job(id)),
+            store::put(keys::ended(id), ended),
+        ],
+    }
+}
--- a/src/api/connection_limiter/tests.rs
+++ b/src/api/connection_limiter/tests.rs
@@ -2,69 +2,76 @@
 use crate::settings::tests::settings;
 
 fn connection_limiter() -> (ConnectionLimiter, Sockets) {
-    let s = settings();
-    let sockets = s.sockets().expect("enough");
-    (ConnectionLimiter::new(&s, &sockets), sockets)
+    let settings = settings();
+    let sockets = settings.sockets().expect("enough sockets");
+    (ConnectionLimiter::new(&settings, &sockets), sockets)
 }
 
-fn answered(connection_limiter: &ConnectionLimiter) -> Place {
-    let place = connection_limiter.place();
-    place.on_write(1);
-    place
+fn answered(connection_limiter: &ConnectionLimiter) -> OpenConnection {
+    let connection = connection_limiter.open();
+    connection.on_write(1);
+    connection
 }
 
 #[test]
-fn at_the_bound_new_connections_are_refused_and_before_it_workers_do_not_stay() {
+fn at_the_limit_new_connections_are_rejected_and_near_it_workers_do_not_keep_theirs() {
     let (connection_limiter, sockets) = connection_limiter();
-    let mut places: Vec<Place> = (0..=sockets.crowded)
+    let mut connections: Vec<OpenConnection> = (0..=sockets.crowded)
         .map(|_| answered(&connection_limiter))
         .collect();
-    assert!(connection_limiter.crowded());
+    assert!(connection_limiter.is_near_limit());
     assert!(
         matches!(connection_limiter.admit(), FuseAction::Accept(_)),
-        "users still come in"
+        "users are still admitted"
     );
-    places.extend((places.len()..sockets.served).map(|_| answered(&connection_limiter)));
+
+    connections.extend((connections.len()..sockets.served).map(|_| answered(&connection_limiter)));
     assert_eq!(connection_limiter.admit(), FuseAction::Reject);
-    places.truncate(sockets.crowded);
+
+    connections.truncate(sockets.crowded);
     assert!(matches!(connection_limiter.admit(), FuseAction::Accept(_)));
-    assert!(!connection_limiter.crowded());
+    assert!(!connection_limiter.is_near_limit());
 }
 
 #[test]
-fn no_more_come_in_at_once_than_can_be_answered_in_time() {
+fn no_more_connections_are_admitted_at_once_than_can_be_answered_in_time() {
     let (connection_limiter, sockets) = connection_limiter();
-    let mut places: Vec<Place> = (0..sockets.awaited)
-        .map(|_| connection_limiter.place())
+    let mut connections: Vec<OpenConnection> = (0..sockets.awaited)
+        .map(|_| connection_limiter.open())
         .collect();
     assert_eq!(connection_limiter.admit(), FuseAction::Reject);
-    places[0].on_write(1);
-    places[0].on_write(1);
+
+    connections[0].on_write(1);
+    connections[0].on_write(1);
     assert!(matches!(connection_limiter.admit(), FuseAction::Accept(_)));
-    // One that leaves without an answer makes room, too; one answered only once.
-    places.push(connection_limiter.place());
+
+    // One that is closed without an answer makes room, too; the answered one only once.
+    connections.push(connection_limiter.open());
     assert_eq!(connection_limiter.admit(), FuseAction::Reject);
-    places.clear();
-    assert_eq!(connection_limiter.fresh.count(connection_limiter.span()), 0);
+    connections.clear();
+    let window = connection_limiter.window();
+    assert_eq!(connection_limiter.pending.count(window), 0);
 }
 
 #[test]
-fn connections_that_never_ask_lock_nobody_out_for_long() {
-    let fresh = PendingConnections::default();
+fn connections_that_send_no_request_keep_others_out_for_two_windows_at_most() {
+    let pending = PendingConnections::default();
     for _ in 0..5 {
-        fresh.enter(7);
+        pending.add(7);
     }
-    fresh.enter(8);
-    assert_eq!(fresh.count(8), 6);
-    fresh.leave(7, 8);
-    assert_eq!(fresh.count(8), 5);
-    // The four that still say nothing no longer count, and don't when they go.
-    assert_eq!(fresh.count(9), 1);
-    fresh.leave(7, 9);
-    fresh.leave(8, 9);
-    assert_eq!(fresh.count(9), 0);
-    fresh.enter(9);
-    assert_eq!(fresh.count(30), 0);
-    fresh.leave(9, 30);
-    assert_eq!(fresh.count(30), 0);
+    pending.add(8);
+    assert_eq!(pending.count(8), 6);
+    pending.remove(7, 8);
+    assert_eq!(pending.count(8), 5);
+
+    // The four that still send nothing no longer count, nor does their end.
+    assert_eq!(pending.count(9), 1);
+    pending.remove(7, 9);
+    pending.remove(8, 9);
+    assert_eq!(pending.count(9), 0);
+
+    pending.add(9);
+    assert_eq!(pending.count(30), 0);
+    pending.remove(9, 30);
+    assert_eq!(pending.count(30), 0);
 }
--- a/src/api/ports.rs
+++ b/src/api/ports.rs
@@ -12,38 +12,38 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Where the users' and workers' side learns from and speaks to.
+/// The interface's ends of the channels to the controller.
 #[derive(Clone)]
 pub struct ApiChannels {
-    /// What the core has published.
+    /// What the controller has published.
     pub view: watch::Receiver<Arc<ApiView>>,
-    /// Requests to the state service.
-    pub questions: mpsc::Sender<StoreQuery>,
-    /// Workers' reports.
-    pub reports: mpsc::Sender<HeartbeatRequest>,
-    /// Questions how a job stands.
-    pub asks: mpsc::Sender<StatusQuery>,
-    /// Cancellations that the store has confirmed.
-    pub cancels: mpsc::Sender<CancelledJob>,
+    /// Requests to the key-value store.
+    pub store_queries: mpsc::Sender<StoreQuery>,
+    /// Workers' heartbeats.
+    pub heartbeats: mpsc::Sender<HeartbeatRequest>,
+    /// Lookups of jobs.
+    pub status_queries: mpsc::Sender<StatusQuery>,
+    /// Cancellations that the store has committed.
+    pub cancellations: mpsc::Sender<CancelledJob>,
 }
 
-/// A question to the state service from the users' side.
+/// A request to the key-value store.
 pub struct StoreQuery {
-    /// What to ask.
+    /// The request.
     pub request: Request,
-    /// Where the reply goes.
+    /// Where the store's reply goes.
     pub answer: oneshot::Sender<Reply>,
 }
 
-/// A worker's report and where its answer goes.
+/// A worker's heartbeat.
 pub struct HeartbeatRequest {
-    /// What the worker reported.
-    pub report: Heartbeat,
+    /// The heartbeat.
+    pub heartbeat: Heartbeat,
     /// Where the answer goes.
     pub answer: oneshot::Sender<HeartbeatAnswer>,
 }
 
-/// A cancellation that the store has confirmed.
+/// A cancellation that the store has committed.
 pub struct CancelledJob {
     /// The cancelled job.
     pub job: JobId,
@@ -51,33 +51,44 @@
     pub revision: Revision,
 }
 
-/// A user's question how a job stands.
+/// A lookup of a job.
 pub struct StatusQuery {
-    /// The job that is asked about.
+    /// The job.
     pub id: JobId,
-    /// Where the answer goes.
+    /// Where the result goes.
     pub answer: oneshot::Sender<JobLookup>,
 }
 
-/// The answer to a worker's report.
+/// The answer to a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatAnswer {
-    /// 200: the token and what to do.
+    /// 200: the fencing token and the commands.
     Accepted(HeartbeatResponse),
-    /// 421: another node answers this machine.
+    /// 421: the controller that owns the machine's partition.
     Redirect(Label),
-    /// 503: nobody is known to be entitled just now.
+    /// 503: no owner of the machine's partition is known just now.
     Unavailable,
 }
 
-/// What the users' side needs to know, published whenever it changes.
+/// The partition of a team, and its owner's grant.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct TeamPartition {
+    /// The partition.
+    pub partition: PartitionId,
+    /// The revision of the owner's record; 0 if there is none.
+    pub owner_revision: Revision,
+    /// The term of the owner's grant.
+    pub term: Term,
+}
+
+/// What the interface needs to know of the controller's state, published at every change.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ApiView {
     /// The machine types, once they are known.
     pub types: Option<Arc<Vec<MachineType>>>,
-    /// For each team: its partition, and the revision and term of the partition's grant.
-    pub teams: Vec<(PartitionId, Revision, Term)>,
-    /// Whether users should come to this controller.
+    /// The partition of each team, by the team's index in the settings.
+    pub teams: Vec<TeamPartition>,
+    /// Whether users should be routed to this controller.
     pub healthy: bool,
     /// The format level that every controller understands.
     pub format: FormatLevel,
--- a/src/api/read_index.rs
+++ b/src/api/read_index.rs
@@ -1,11 +1,13 @@
-//! Answers how a job stands, as fresh as a read of its own and at a bounded rate.
+//! The read index: linearizable lookups of jobs, at a bounded rate of reads.
 //!
-//! A question waits for the next reading of the store's changes that was begun
-//! after it came: one reading serves all questions waiting. A live job is then
-//! answered from the cache, which is as new as that reading. For any other the
-//! record of ended jobs is read, in this order, since jobs only ever move from
-//! live to ended, in one transaction: none is missed. How a job ended never
-//! changes, so it is remembered.
+//! A lookup waits for the next read of the store's changes that was sent after it came: one
+//! read serves all pending lookups. A live job is then answered from the watch cache, which
+//! is as new as that read. For any other, the record of its end is read, in this order, since
+//! jobs only ever move from live to ended, in one transaction: none is missed. How a job
+//! ended never changes, so it is cached.
+//!
+//! Owns the pending lookups, the reads in flight and the cached ends. It must never answer
+//! from a read that was sent before the lookup came.
 
 use crate::clock::Micros;
 use crate::ids::{JobId, Revision};
@@ -17,15 +19,23 @@
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How a job stands.
+/// How long a lookup may be pending. Users wait for 2 s: what can't be answered by then is
+/// refused before.
+const LOOKUP_TIMEOUT: Micros = Micros::from_millis(1_500);
+/// Further lookups are refused at once.
+const MAX_PENDING_LOOKUPS: usize = 2_000;
+/// How many ends of jobs are cached.
+const MAX_CACHED_ENDS: usize = 20_000;
+
+/// The result of a lookup of a job.
 #[derive(Debug, Clone, PartialEq)]
 pub enum JobLookup {
-    /// It is not over.
+    /// It has not ended.
     Live {
-        /// Of its record.
+        /// The revision of its record.
         revision: Revision,
-        /// Whether any task runs.
-        standing: JobState,
+        /// Running if any of its tasks is, else pending.
+        state: JobState,
         /// How many tasks it has.
         tasks: u32,
         /// What each of them takes.
@@ -35,209 +45,220 @@
         /// How many run.
         running: u32,
     },
-    /// It is over.
+    /// It has ended.
     Ended(EndedRecord),
-    /// No such job.
+    /// There is no such job.
     NotFound,
-    /// It can't be told now.
+    /// It can't be read now.
     Unavailable,
 }
 
-/// What the index wants done.
+/// What the read index wants done.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// Answer the question of this ticket.
+    /// Answer the lookup with this request id.
     AnswerJobLookup(u64, JobLookup),
     /// Read the record of an ended job.
     ReadEnded(JobId),
 }
 
-struct Question {
+struct PendingLookup {
     request_id: u64,
     id: JobId,
-    at: Micros,
+    received_at: Micros,
 }
 
-/// A record of an ended job is being read.
-struct RecordRead {
+impl PendingLookup {
+    fn answer(&self, lookup: JobLookup) -> Effect {
+        Effect::AnswerJobLookup(self.request_id, lookup)
+    }
+}
+
+/// A read of the record of an ended job that is in flight.
+struct EndedRead {
     /// The read was sent after this.
-    after: Micros,
+    sent_after: Micros,
+    /// The lookups that it answers.
     request_ids: Vec<u64>,
 }
 
-/// Questions that wait for a reading, and how jobs ended that were asked about.
+/// How jobs ended, the last ones that were looked up.
 #[derive(Default)]
-pub struct ReadIndex {
-    waiting: Vec<Question>,
-    /// Records of ended jobs that are being read.
-    reading: BTreeMap<JobId, RecordRead>,
-    ended: BTreeMap<JobId, EndedRecord>,
-    order: VecDeque<JobId>,
+struct EndedJobs {
+    records: BTreeMap<JobId, EndedRecord>,
+    insertion_order: VecDeque<JobId>,
+}
+
+impl EndedJobs {
+    fn get(&self, id: &JobId) -> Option<&EndedRecord> {
+        self.records.get(id)
+    }
+
+    fn insert(&mut self, id: &JobId, record: &EndedRecord) {
+        if self.records.insert(id.clone(), record.clone()).is_some() {
+            return;
+        }
+        self.insertion_order.push_back(id.clone());
+        if self.insertion_order.len() > MAX_CACHED_ENDS
+            && let Some(oldest) = self.insertion_order.pop_front()
+        {
+            self.records.remove(&oldest);
+        }
+    }
 }
 
-/// Users wait for 2 s: what can't be told by then is refused before.
-const PATIENCE: Micros = Micros::from_millis(1_500);
-const MOST_WAITING: usize = 2_000;
-const MOST_REMEMBERED: usize = 20_000;
+/// The pending lookups of jobs, and how looked-up jobs ended.
+#[derive(Default)]
+pub struct ReadIndex {
+    pending: Vec<PendingLookup>,
+    ended_reads: BTreeMap<JobId, EndedRead>,
+    ended_jobs: EndedJobs,
+}
 
 impl ReadIndex {
-    /// A question. `hopeful`: readings have come of late.
-    pub fn ask(
+    /// Begins to look up a job: gives the answer if there is one at once. Without a recent read of
+    /// the store's changes there is none to wait for.
+    pub fn begin_lookup(
         &mut self,
         now: Micros,
         id: JobId,
         request_id: u64,
-        hopeful: bool,
+        has_recent_read: bool,
     ) -> Option<Effect> {
-        if let Some(rec) = self.ended.get(&id) {
-            return Some(Effect::AnswerJobLookup(
-                request_id,
-                JobLookup::Ended(rec.clone()),
-            ));
-        }
-        if !hopeful || self.waiting.len() >= MOST_WAITING {
-            return Some(Effect::AnswerJobLookup(request_id, JobLookup::Unavailable));
-        }
-        self.waiting.push(Question {
+        let lookup = PendingLookup {
             request_id,
             id,
-            at: now,
-        });
+            received_at: now,
+        };
+        if let Some(record) = self.ended_jobs.get(&lookup.id) {
+            return Some(lookup.answer(JobLookup::Ended(record.clone())));
+        }
+        if !has_recent_read || self.pending.len() >= MAX_PENDING_LOOKUPS {
+            return Some(lookup.answer(JobLookup::Unavailable));
+        }
+        self.pending.push(lookup);
         None
     }
 
-    /// The cache has reached what a reading asked for at `sent` gave.
-    pub fn reading(
+    /// The cache has reached the result of a read of the store's changes that was sent at
+    /// `sent_at`.
+    pub fn handle_read(
         &mut self,
-        sent: Micros,
+        sent_at: Micros,
         cache: &WatchCache,
         dependencies: &DependencyGraph,
     ) -> Vec<Effect> {
-        let mut out = Vec::new();
-        for q in std::mem::take(&mut self.waiting) {
-            if q.at > sent {
-                // That reading may be older than what another node has told since.
-                self.waiting.push(q);
+        let mut effects = Vec::new();
+        for lookup in std::mem::take(&mut self.pending) {
+            if lookup.received_at > sent_at {
+                // That read may be older than what another controller has answered since.
+                self.pending.push(lookup);
                 continue;
             }
-            if let Some(rec) = self.ended.get(&q.id) {
-                out.push(Effect::AnswerJobLookup(
-                    q.request_id,
-                    JobLookup::Ended(rec.clone()),
-                ));
-            } else if let Some(found) = live(&q.id, cache) {
-                match dependencies.is_cancelled(&q.id) {
-                    Some(false) => out.push(Effect::AnswerJobLookup(q.request_id, found)),
-                    Some(true) => out.push(Effect::AnswerJobLookup(q.request_id, cancelled(found))),
-                    // Guards against an answer that goes back: another node may have told
-                    // that it is cancelled with the one whose end is being read here.
-                    None => self.waiting.push(q),
+            if let Some(record) = self.ended_jobs.get(&lookup.id) {
+                effects.push(lookup.answer(JobLookup::Ended(record.clone())));
+            } else if let Some(live) = live_job(&lookup.id, cache) {
+                match dependencies.is_cancelled(&lookup.id) {
+                    Some(false) => effects.push(lookup.answer(live)),
+                    Some(true) => effects.push(lookup.answer(cancelled_job(live))),
+                    // Guards against an answer that goes back: another controller may have
+                    // answered that it is cancelled with the dependency whose end is being
+                    // read here.
+                    None => self.pending.push(lookup),
                 }
-            } else if cache.unreadable_jobs.contains(&q.id) {
-                // It was accepted: "no such job" would make it forgotten.
-                out.push(Effect::AnswerJobLookup(
-                    q.request_id,
-                    JobLookup::Unavailable,
-                ));
+            } else if cache.unreadable_jobs.contains(&lookup.id) {
+                // It was accepted: "no such job" would make its user give it up.
+                effects.push(lookup.answer(JobLookup::Unavailable));
             } else {
-                out.extend(self.read_record(q, sent));
+                effects.extend(self.read_ended(lookup, sent_at));
             }
         }
-        out
+        effects
     }
 
-    /// Reads the record of an ended job, once for all who may be told what it says.
-    fn read_record(&mut self, q: Question, now: Micros) -> Option<Effect> {
-        match self.reading.entry(q.id.clone()) {
-            Entry::Vacant(new) => {
-                new.insert(RecordRead {
-                    after: now,
-                    request_ids: vec![q.request_id],
+    /// Reads the record of an ended job, once for all lookups that it may answer.
+    fn read_ended(&mut self, lookup: PendingLookup, now: Micros) -> Option<Effect> {
+        match self.ended_reads.entry(lookup.id.clone()) {
+            Entry::Vacant(entry) => {
+                entry.insert(EndedRead {
+                    sent_after: now,
+                    request_ids: vec![lookup.request_id],
                 });
-                Some(Effect::ReadEnded(q.id))
+                Some(Effect::ReadEnded(lookup.id))
             }
-            Entry::Occupied(mut out) if q.at <= out.get().after => {
-                out.get_mut().request_ids.push(q.request_id);
+            Entry::Occupied(mut read) if lookup.received_at <= read.get().sent_after => {
+                read.get_mut().request_ids.push(lookup.request_id);
                 None
             }
             // Guards against a 404 for a job that was accepted and has ended since that
-            // read was sent: this question waits for a read of its own.
+            // read was sent: this lookup waits for a read of its own.
             Entry::Occupied(_) => {
-                self.waiting.push(q);
+                self.pending.push(lookup);
                 None
             }
         }
     }
 
-    /// The record of an ended job was read.
-    pub fn ended(&mut self, id: JobId, reply: &Reply) -> Vec<Effect> {
-        let found = match reply {
+    /// Handles the store's reply to the read of an ended job's record.
+    pub fn handle_ended_read(&mut self, id: &JobId, reply: &Reply) -> Vec<Effect> {
+        let lookup = match reply {
             Reply::Value(row) => {
                 EndedRecord::read(row).map_or(JobLookup::Unavailable, JobLookup::Ended)
             }
             Reply::NotFound => JobLookup::NotFound,
             _ => JobLookup::Unavailable,
         };
-        if let JobLookup::Ended(rec) = &found
-            && self.ended.insert(id.clone(), rec.clone()).is_none()
-        {
-            self.order.push_back(id.clone());
-            if self.order.len() > MOST_REMEMBERED
-                && let Some(oldest) = self.order.pop_front()
-            {
-                self.ended.remove(&oldest);
-            }
+        if let JobLookup::Ended(record) = &lookup {
+            self.ended_jobs.insert(id, record);
         }
-        let request_ids = self
-            .reading
-            .remove(&id)
-            .map_or(Vec::new(), |r| r.request_ids);
-        let tell = |t| Effect::AnswerJobLookup(t, found.clone());
-        request_ids.into_iter().map(tell).collect()
+        let read = self.ended_reads.remove(id);
+        let request_ids = read.map_or_else(Vec::new, |read| read.request_ids);
+        request_ids
+            .into_iter()
+            .map(|request_id| Effect::AnswerJobLookup(request_id, lookup.clone()))
+            .collect()
     }
 
-    /// Refuses what has waited for too long.
+    /// Refuses the lookups that have been pending for too long.
     pub fn expire(&mut self, now: Micros) -> Vec<Effect> {
-        let mut out = Vec::new();
-        self.waiting.retain(|q| {
-            let keep = now.since(q.at) < PATIENCE;
-            if !keep {
-                out.push(Effect::AnswerJobLookup(
-                    q.request_id,
-                    JobLookup::Unavailable,
-                ));
-            }
-            keep
-        });
-        out
+        let has_expired =
+            |lookup: &mut PendingLookup| now.since(lookup.received_at) >= LOOKUP_TIMEOUT;
+        self.pending
+            .extract_if(.., has_expired)
+            .map(|lookup| lookup.answer(JobLookup::Unavailable))
+            .collect()
     }
 }
 
-fn live(id: &JobId, cache: &WatchCache) -> Option<JobLookup> {
-    let (revision, rec) = cache.jobs.get(id)?;
+fn live_job(id: &JobId, cache: &WatchCache) -> Option<JobLookup> {
+    let (revision, record) = cache.jobs.get(id)?;
     let mut running = 0;
     let mut done = RangeSet::default();
     for (_, _, page) in cache.progress(id) {
-        page.done.iter().for_each(|(a, b)| done.add(*a, *b));
+        for (first, end) in page.done.iter() {
+            done.add(*first, *end);
+        }
         running += page.running;
     }
+    let state = if running > 0 {
+        JobState::Running
+    } else {
+        JobState::Pending
+    };
     Some(JobLookup::Live {
         revision: *revision,
-        standing: if running > 0 {
-            JobState::Running
-        } else {
-            JobState::Pending
-        },
-        tasks: rec.desc.tasks,
-        footprint: rec.desc.footprint(),
+        state,
+        tasks: record.desc.tasks,
+        footprint: record.desc.footprint(),
         done: done.len(),
         running,
     })
 }
 
-/// A job that is cancelled with one before it, whether or not its own end is stored yet.
-fn cancelled(found: JobLookup) -> JobLookup {
-    match found {
+/// A job that is cancelled with one of its dependencies, whether or not its own end is
+/// stored yet.
+fn cancelled_job(lookup: JobLookup) -> JobLookup {
+    match lookup {
         JobLookup::Live {
             tasks, footprint, ..
         } => JobLookup::Ended(EndedRecord {
@@ -246,7 +267,7 @@
             footprint: Some(footprint),
             ended_at: None,
         }),
-        found => found,
+        other => other,
     }
 }
 
--- /dev/null
+++ b/src/api/tests/heartbeats.rs
@@ -0,0 +1,17 @@
+use super::{no_commands, view, worker_context};
+use crate::clock::Micros;
+use serde_json::json;
+
+/// A standstill between the decision and the bytes: the lease may have expired.
+#[tokio::test]
+async fn an_answer_to_a_heartbeat_does_not_leave_after_its_lease_expired() {
+    let heartbeat = json!({"rig": "m-1", "addr": "a:1", "build": "big", "yard": "x", "loaners": false,
+        "shift": 1, "tally": 1, "baton": 0, "hands": []});
+    let heartbeat = heartbeat.to_string();
+    let valid = worker_context(view(), no_commands(Micros::from_secs(3_600.0)));
+    let answer = valid.heartbeat(heartbeat.as_bytes()).await;
+    assert_eq!(answer.status().as_u16(), 200);
+    let expired = worker_context(view(), no_commands(Micros(1)));
+    let answer = expired.heartbeat(heartbeat.as_bytes()).await;
+    assert_eq!(answer.status().as_u16(), 503);
+}
--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -9,7 +9,7 @@
 mod replies;
 mod zones;
 
-use crate::api::ports::{ApiView, HeartbeatAnswer};
+use crate::api::ports::{ApiView, HeartbeatAnswer, TeamPartition};
 use crate::api::read_index::{self, ReadIndex};
 use crate::autoscaler::{self, Autoscaler, MachineTypes};
 use crate::clock::Micros;
@@ -198,7 +198,7 @@
             Input::JobLookup { id, request_id } => {
                 // Without a reading of late there is none to wait for.
                 let hopeful = self.cache.loaded && now.since(self.read) < STALE;
-                let asked = self.read_index.ask(now, id, request_id, hopeful);
+                let asked = self.read_index.begin_lookup(now, id, request_id, hopeful);
                 out.extend(asked.map(read_index_effect));
             }
             Input::DirectCommandReply {
--- a/src/controller/core/readings.rs
+++ b/src/controller/core/readings.rs
@@ -56,7 +56,7 @@
     pub(super) fn answer_reading(&mut self, sent: Micros, out: &mut Vec<Effect>) {
         let asked = self
             .read_index
-            .reading(sent, &self.cache, &self.dependencies);
+            .handle_read(sent, &self.cache, &self.dependencies);
         out.extend(asked.into_iter().map(read_index_effect));
     }
 
@@ -145,9 +145,11 @@
             .map(|t| {
                 let b = leader::partition_of(&self.cache, s, partitions, t);
                 let rec = self.cache.partition_owners.get(&b);
-                rec.map_or((b, Revision(0), Term(0)), |(revision, rec)| {
-                    (b, *revision, rec.term)
-                })
+                TeamPartition {
+                    partition: b,
+                    owner_revision: rec.map_or(Revision(0), |(revision, _)| *revision),
+                    term: rec.map_or(Term(0), |(_, rec)| rec.term),
+                }
             })
             .collect();
         let view = ApiView {
--- a/src/controller/core/replies.rs
+++ b/src/controller/core/replies.rs
@@ -59,7 +59,7 @@
                 self.sync_dependencies(now, out);
             }
             StoreOperation::EndedJobLookup(id) => {
-                let asked = self.read_index.ended(id, reply);
+                let asked = self.read_index.handle_ended_read(&id, reply);
                 out.extend(asked.into_iter().map(read_index_effect));
             }
             StoreOperation::UnknownJob(b, term, id) => {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -95,10 +95,10 @@
     let shared = Arc::new(settings.clone());
     let ports = api::ports::ApiChannels {
         view,
-        questions,
-        reports,
-        asks,
-        cancels,
+        store_queries: questions,
+        heartbeats: reports,
+        status_queries: asks,
+        cancellations: cancels,
     };
     api::serve(shared, &sockets, clock, ports)
         .await
@@ -253,7 +253,7 @@
                 Some(a) = arrivals.recv() => {
                     self.next += 1;
                     self.request_ids.insert(self.next, a.answer);
-                    Input::Heartbeat { heartbeat: a.report, request_id: self.next }
+                    Input::Heartbeat { heartbeat: a.heartbeat, request_id: self.next }
                 }
             };
             let effects = self.core.handle(self.clock.now(), wall_clock_now(), input);
--- a/src/controller/tests/characterization.rs
+++ b/src/controller/tests/characterization.rs
@@ -108,12 +108,12 @@
     match found {
         JobLookup::Live {
             revision,
-            standing,
+            state,
             tasks,
             footprint,
             done,
             running,
-        } => json!([revision, standing, tasks, footprint, done, running]),
+        } => json!([revision, state, tasks, footprint, done, running]),
         JobLookup::Ended(record) => json!(record),
         JobLookup::NotFound => json!(404),
         JobLookup::Unavailable => json!(503),
@@ -121,7 +121,12 @@
 }
 
 fn view_form(view: &ApiView) -> String {
-    json!([view.types.as_deref(), view.teams, view.healthy, view.format]).to_string()
+    let teams: Vec<_> = view
+        .teams
+        .iter()
+        .map(|team| (team.partition, team.owner_revision, team.term))
+        .collect();
+    json!([view.types.as_deref(), teams, view.healthy, view.format]).to_string()
 }
 
 /// The digests of histories of one kind, a line each.
