--- a/src/api/read_index.rs
+++ b/src/api/read_index.rs
@@ -116,8 +116,8 @@
 }
 
 impl ReadIndex {
-    /// Begins to look up a job: gives the answer if there is one at once. Without a recent read of
-    /// the store's changes there is none to wait for.
+    /// Begins to look up a job: gives the answer if there is one at once. Without a recent
+    /// read of the store's changes there is none to wait for.
     pub fn begin_lookup(
         &mut self,
         now: Micros,
