--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -2,7 +2,7 @@
 
 use super::{CloudMachine, CloudReply, CloudRequest, MachineType};
 use crate::clock::MonotonicClock;
-use crate::http_client::{HttpRequest, Pool};
+use crate::http_client::{ConnectionPool, HttpRequest};
 use crate::ids::MachineId;
 use crate::store::client::TokenBucket;
 use serde::Deserialize;
@@ -12,7 +12,7 @@
 
 /// A client of the cloud's interface.
 pub struct CloudClient {
-    pool: Pool,
+    pool: ConnectionPool,
     bucket: RefCell<TokenBucket>,
     clock: MonotonicClock,
 }
@@ -38,7 +38,7 @@
 
 impl CloudClient {
     /// A client that stays below `rps` requests a second.
-    pub fn new(pool: Pool, clock: MonotonicClock, rps: f64) -> Self {
+    pub fn new(pool: ConnectionPool, clock: MonotonicClock, rps: f64) -> Self {
         // Only the leader calls regularly; the others' few calls at their start
         // fit into what is left.
         CloudClient {
--- a/src/cloud/client/tests.rs
+++ b/src/cloud/client/tests.rs
@@ -9,7 +9,7 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await;
     let listener = listener.expect("a port");
     let addr = listener.local_addr().expect("an address").to_string();
-    let cloud = CloudClient::new(Pool::new(addr, 2), MonotonicClock::start(), 100.0);
+    let cloud = CloudClient::new(ConnectionPool::new(addr, 2), MonotonicClock::start(), 100.0);
     let serve = async {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut sent = Vec::new();
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -10,7 +10,7 @@
 use crate::api::{self, read_index::JobLookup};
 use crate::clock::{Micros, MonotonicClock, wall_clock_now};
 use crate::cloud::client::CloudClient;
-use crate::http_client::{Failure, HttpRequest, Pool, Pools};
+use crate::http_client::{ConnectionPool, ConnectionPools, HttpRequest, RequestError};
 
 use crate::mesh;
 use crate::policy::Policy;
@@ -59,13 +59,13 @@
         .map_err(|e| refused(&settings.bind, &e))?;
     let p = &settings.platform;
     let share = 1.0 / p.initial_size.max(1) as f64;
-    let state_pool = Rc::new(Pool::new(
+    let state_pool = Rc::new(ConnectionPool::new(
         settings.endpoints.state.to_string(),
         STORE_SOCKETS,
     ));
     let store = KvClient::new(state_pool, clock, &p.state, share);
     let cloud = Rc::new(CloudClient::new(
-        Pool::new(settings.endpoints.cloud.to_string(), CLOUD_SOCKETS),
+        ConnectionPool::new(settings.endpoints.cloud.to_string(), CLOUD_SOCKETS),
         clock,
         p.cloud.rps,
     ));
@@ -115,7 +115,7 @@
         inputs,
         peers,
         view_out,
-        workers: Pools::new(sockets.direct),
+        workers: ConnectionPools::new(sockets.direct),
         request_ids: BTreeMap::new(),
         questions: BTreeMap::new(),
         next: 0,
@@ -201,7 +201,7 @@
 }
 
 /// Commands straight to a worker.
-async fn direct(worker: &Pool, direct: DirectCommand, within: Duration) -> DirectAnswer {
+async fn direct(worker: &ConnectionPool, direct: DirectCommand, within: Duration) -> DirectAnswer {
     let Ok(request) = direct_request(&direct) else {
         return DirectAnswer::NotSent;
     };
@@ -210,8 +210,8 @@
             Ok(r) => DirectAnswer::Heartbeat(r),
             Err(_) => DirectAnswer::Indeterminate,
         },
-        Err(Failure::NotSent) => DirectAnswer::NotSent,
-        Ok(_) | Err(Failure::NoAnswer) => DirectAnswer::Indeterminate,
+        Err(RequestError::NotSent) => DirectAnswer::NotSent,
+        Ok(_) | Err(RequestError::NoAnswer) => DirectAnswer::Indeterminate,
     }
 }
 
@@ -224,7 +224,7 @@
     inputs: mpsc::Sender<Input>,
     peers: Vec<mpsc::Sender<Bytes>>,
     view_out: watch::Sender<Arc<ApiView>>,
-    workers: Pools,
+    workers: ConnectionPools,
     request_ids: BTreeMap<u64, oneshot::Sender<HeartbeatAnswer>>,
     questions: BTreeMap<u64, oneshot::Sender<JobLookup>>,
     next: u64,
@@ -304,7 +304,7 @@
                 command: orders,
                 send_before: until,
             } => {
-                let worker = self.workers.to(&addr);
+                let worker = self.workers.for_address(&addr);
                 let within = until.since(self.clock.now()).duration();
                 spawn_local(async move {
                     let answer = direct(&worker, orders, DO_DEADLINE.min(within)).await;
--- a/src/controller/tests/loopback/mod.rs
+++ b/src/controller/tests/loopback/mod.rs
@@ -3,7 +3,7 @@
 mod stand_ins;
 
 use crate::clock::Micros;
-use crate::http_client::{HttpRequest, Pool};
+use crate::http_client::{ConnectionPool, HttpRequest};
 use crate::jobs::tests::{body as job_body, types};
 use crate::policy::Policy;
 use crate::settings::Settings;
@@ -70,7 +70,7 @@
 
 struct Test {
     site: Shared,
-    users: Pool,
+    users: ConnectionPool,
     until: Instant,
 }
 
@@ -141,7 +141,7 @@
     }
     let test = Test {
         site: site.clone(),
-        users: Pool::new(controllers[0].clone(), 4),
+        users: ConnectionPool::new(controllers[0].clone(), 4),
         until: Instant::now() + BOUND,
     };
     // Two tasks to a machine; there is room for all of it in two zones.
--- a/src/controller/tests/loopback/stand_ins.rs
+++ b/src/controller/tests/loopback/stand_ins.rs
@@ -3,7 +3,7 @@
 use super::super::world::{FakeStore, FakeWorker};
 use crate::clock::Micros;
 use crate::cloud::MachineType;
-use crate::http_client::{HttpRequest, Pool};
+use crate::http_client::{ConnectionPool, HttpRequest};
 use crate::ids::{FencingToken, LeaseId, Revision};
 use crate::store::{self, Compare, KeyValue, Mutation, Reply, WatchEvent};
 use crate::workers::WorkerCommand;
@@ -182,7 +182,7 @@
 async fn report(site: Shared, at: usize, controllers: Vec<String>) {
     let pools: Vec<_> = controllers
         .iter()
-        .map(|address| Pool::new(address.clone(), 2))
+        .map(|address| ConnectionPool::new(address.clone(), 2))
         .collect();
     let mut node = at % pools.len();
     loop {
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -2,7 +2,7 @@
 
 use super::{Compare, KeyValue, Mutation, ROOT, Reply, Request, RequestPriority, WatchEvent};
 use crate::clock::{Micros, MonotonicClock};
-use crate::http_client::{Failure, HttpRequest, Pool};
+use crate::http_client::{ConnectionPool, HttpRequest, RequestError};
 use crate::ids::{LeaseId, Revision};
 use crate::settings::StateLimits;
 use serde::Deserialize;
@@ -116,7 +116,7 @@
 /// A handle for asking the state service; cheap to clone.
 #[derive(Clone)]
 pub struct KvClient {
-    pool: Rc<Pool>,
+    pool: Rc<ConnectionPool>,
     budget: Rc<RefCell<Budget>>,
     value_bytes: usize,
     clock: MonotonicClock,
@@ -167,7 +167,12 @@
 
 impl KvClient {
     /// `share` of the service's limits is this controller's.
-    pub fn new(pool: Rc<Pool>, clock: MonotonicClock, limits: &StateLimits, share: f64) -> Self {
+    pub fn new(
+        pool: Rc<ConnectionPool>,
+        clock: MonotonicClock,
+        limits: &StateLimits,
+        share: f64,
+    ) -> Self {
         let now = clock.now();
         let part = (share * OVERBOOKED).min(1.0);
         let lasting = limits.lowest_write_rps();
@@ -246,8 +251,8 @@
         Sent::Reply(match sent {
             Ok((429, _)) => return Sent::OverLimit,
             Ok((status, body)) => read_reply(request, status, &body),
-            Err(Failure::NotSent) => Reply::Rejected,
-            Err(Failure::NoAnswer) => Reply::Indeterminate,
+            Err(RequestError::NotSent) => Reply::Rejected,
+            Err(RequestError::NoAnswer) => Reply::Indeterminate,
         })
     }
 
