--- /dev/null
+++ b/src/controller/core/autoscaling.rs
@@ -0,0 +1,77 @@
+//! The leader runs the autoscaler, and its effects become the controller's.
+
+use super::Core;
+use crate::autoscaler::{self, FleetSnapshot};
+use crate::clock::Micros;
+use crate::controller::messages::{Effect, StoreOperation};
+use crate::ids::Revision;
+use crate::store::{Compare, Reply, Request, RequestPriority};
+use zone_failover::leader::ScaleOutAccess;
+
+impl Core {
+    /// One step of the autoscaler, once the machine types are known.
+    pub(super) fn run_autoscaler(&mut self, now: Micros, leader: &Compare, out: &mut Vec<Effect>) {
+        let Some(types) = self.machine_types.types() else {
+            return;
+        };
+        let partition_states = self.newest_partition_states(now);
+        let zones = self.zones.as_ref();
+        let scale_out_access = |zone: &str| {
+            zones.map_or(ScaleOutAccess::Open, |zones| {
+                zones.scale_out_access(now, zone)
+            })
+        };
+        let fleet = FleetSnapshot {
+            cache: self.store.cache(),
+            leader,
+            seen: self.store.applied_revision(),
+            types,
+            news: &partition_states,
+            access: &scale_out_access,
+        };
+        let effects = self.leader_state.autoscaler.step(now, &fleet);
+        self.note_zone_probes(now, &effects);
+        let leader_revision = self.leader_revision().unwrap_or(Revision(0));
+        let effects = effects.into_iter();
+        out.extend(effects.map(|effect| autoscaler_effect(leader_revision, effect)));
+    }
+
+    /// Takes in the reply to a write of the autoscaler.
+    pub(super) fn handle_autoscaler_reply(
+        &mut self,
+        now: Micros,
+        leader_revision: Revision,
+        write: autoscaler::Write,
+        reply: &Reply,
+    ) {
+        // An earlier leadership's replies mean nothing to this one.
+        if self.leader_revision() == Some(leader_revision) {
+            self.leader_state
+                .autoscaler
+                .handle_store_reply(now, write, reply);
+        }
+    }
+
+    /// The revision of the leader's key, which names a leadership.
+    fn leader_revision(&self) -> Option<Revision> {
+        let leader = self.store.cache().leader.as_ref();
+        leader.map(|(revision, _)| *revision)
+    }
+}
+
+fn autoscaler_effect(leader_revision: Revision, effect: autoscaler::Effect) -> Effect {
+    match effect {
+        autoscaler::Effect::Cloud(request) => Effect::Cloud(request),
+        autoscaler::Effect::CompareAndSwap(write, compares, mutations) => Effect::StoreRequest {
+            operation: StoreOperation::AutoscalerWrite {
+                leader_revision,
+                write,
+            },
+            request: Request::CompareAndSwap {
+                compares,
+                mutations,
+            },
+            priority: RequestPriority::Normal,
+        },
+    }
+}
--- a/src/controller/core/effects.rs
+++ b/src/controller/core/effects.rs
@@ -1,14 +1,20 @@
-//! The slices' effects as the controller's.
+//! The effects of a controller's parts as its own.
 
-use super::*;
+use crate::api::read_index;
+use crate::clock::Micros;
+use crate::controller::messages::{Effect, StoreOperation};
+use crate::ids::{JobId, PartitionId, Term};
+use crate::partition_owner;
+use crate::store::{Compare, Mutation, Request, RequestPriority, keys};
 
-pub(super) fn vital(
-    tag: StoreOperation,
-    compares: Vec<store::Compare>,
-    mutations: Vec<store::Mutation>,
+/// A write that goes before all others: without it nothing else may be done.
+pub(super) fn critical_write(
+    operation: StoreOperation,
+    compares: Vec<Compare>,
+    mutations: Vec<Mutation>,
 ) -> Effect {
     Effect::StoreRequest {
-        operation: tag,
+        operation,
         request: Request::CompareAndSwap {
             compares,
             mutations,
@@ -17,56 +23,64 @@
     }
 }
 
-pub(super) fn read_ended(tag: StoreOperation, id: &JobId) -> Effect {
+/// A read of the record of an ended job.
+pub(super) fn read_ended_job(operation: StoreOperation, job: &JobId) -> Effect {
     Effect::StoreRequest {
-        operation: tag,
+        operation,
         request: Request::Get {
-            key: keys::ended(id),
+            key: keys::ended(job),
         },
         priority: RequestPriority::Normal,
     }
 }
 
-pub(super) fn read_index_effect(e: read_index::Effect) -> Effect {
-    match e {
-        read_index::Effect::AnswerJobLookup(request_id, found) => Effect::AnswerJobLookup {
-            request_id,
-            lookup: found,
-        },
-        read_index::Effect::ReadEnded(id) => {
-            read_ended(StoreOperation::EndedJobLookup(id.clone()), &id)
+/// An effect of the read index.
+pub(super) fn read_index_effect(effect: read_index::Effect) -> Effect {
+    match effect {
+        read_index::Effect::AnswerJobLookup(request_id, lookup) => {
+            Effect::AnswerJobLookup { request_id, lookup }
+        }
+        read_index::Effect::ReadEnded(job) => {
+            read_ended_job(StoreOperation::EndedJobLookup(job.clone()), &job)
         }
     }
 }
 
-pub(super) fn holder_effect(
+/// An effect of an owned partition under its term. Commands are not sent from `send_before`
+/// on.
+pub(super) fn partition_effect(
     partition: PartitionId,
     term: Term,
-    until: Micros,
-    e: partition_owner::Effect,
+    send_before: Micros,
+    effect: partition_owner::Effect,
 ) -> Effect {
-    match e {
-        partition_owner::Effect::SendDirectCommand(machine, addr, direct) => {
+    match effect {
+        partition_owner::Effect::SendDirectCommand(machine, addr, command) => {
             Effect::SendDirectCommand {
                 partition,
                 term,
                 machine,
                 addr,
-                command: direct,
-                send_before: until,
+                command,
+                send_before,
             }
         }
-        partition_owner::Effect::ReadEnded(id) => {
-            read_ended(StoreOperation::UnknownJob(partition, term, id.clone()), &id)
+        partition_owner::Effect::ReadEnded(job) => {
+            let operation = StoreOperation::UnknownJob {
+                partition,
+                term,
+                job: job.clone(),
+            };
+            read_ended_job(operation, &job)
         }
         partition_owner::Effect::CompareAndSwap(write, compares, mutations) => {
             Effect::StoreRequest {
-                // Where changes are short, progress waits for all the others.
-                priority: match write {
-                    partition_owner::Write::Progress { .. } => RequestPriority::Background,
-                    _ => RequestPriority::Normal,
+                priority: write_priority(&write),
+                operation: StoreOperation::PartitionWrite {
+                    partition,
+                    term,
+                    write,
                 },
-                operation: StoreOperation::OwnedPartition(partition, term, write),
                 request: Request::CompareAndSwap {
                     compares,
                     mutations,
@@ -75,3 +89,11 @@
         }
     }
 }
+
+/// Where changes are short, progress waits for all the others.
+fn write_priority(write: &partition_owner::Write) -> RequestPriority {
+    match write {
+        partition_owner::Write::Progress { .. } => RequestPriority::Background,
+        _ => RequestPriority::Normal,
+    }
+}
--- /dev/null
+++ b/src/controller/core/garbage_collection.rs
@@ -0,0 +1,63 @@
+//! The leader deletes the progress pages of ended jobs, a few at a time.
+
+use super::Core;
+use crate::clock::Micros;
+use crate::controller::messages::{Effect, StoreOperation};
+use crate::ids::Revision;
+use crate::store::{self, Request, RequestPriority, compare, keys};
+
+const GARBAGE_COLLECTION_INTERVAL: Micros = Micros::from_millis(3_000);
+/// Progress pages that are deleted in one transaction.
+const MAX_DELETED_PAGES: usize = 8;
+
+/// When garbage was collected last.
+#[derive(Debug, Default)]
+pub(super) struct GarbageCollector {
+    last_run_at: Micros,
+}
+
+impl GarbageCollector {
+    /// Whether garbage is to be collected now; if so, next after an interval.
+    fn begin_if_due(&mut self, now: Micros) -> bool {
+        let is_due = now.since(self.last_run_at) >= GARBAGE_COLLECTION_INTERVAL;
+        if is_due {
+            self.last_run_at = now;
+        }
+        is_due
+    }
+}
+
+impl Core {
+    pub(super) fn collect_garbage(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        if !self.leader_state.garbage_collector.begin_if_due(now) {
+            return;
+        }
+        let Some(leader) = self.leader_compare() else {
+            return;
+        };
+        // Each page takes a condition and a change.
+        let max_mutations = self.configuration.settings.max_mutations();
+        let max_pages = (max_mutations / 2).min(MAX_DELETED_PAGES);
+        let pages = self.store.cache().garbage(max_pages);
+        if pages.is_empty() {
+            return;
+        }
+        // Ids of ended jobs never come back, so these pages are nobody's.
+        let jobs_ended = pages
+            .iter()
+            .map(|(job, _)| compare(keys::job(job), Revision(0)));
+        let compares = std::iter::once(leader).chain(jobs_ended).collect();
+        let mutations = pages
+            .iter()
+            .map(|(job, page)| store::delete(keys::progress_page(job, *page)))
+            .collect();
+        out.push(Effect::StoreRequest {
+            operation: StoreOperation::GarbageCollection,
+            request: Request::CompareAndSwap {
+                compares,
+                mutations,
+            },
+            priority: RequestPriority::Background,
+        });
+    }
+}
--- a/src/controller/core/health.rs
+++ b/src/controller/core/health.rs
@@ -1,67 +1,46 @@
-//! Whether users should come here, and which members show signs of life.
+//! Whether users should come here, which members are fit to own partitions, and whether this
+//! controller is isolated.
 
-use super::*;
+use super::Core;
+use crate::clock::Micros;
+use crate::ids::Label;
 
-/// Without a reading for so long, a controller is unhealthy if a peer has one. Longer than
-/// [`STALE`], so that in an outage all have told that they lost the store, too.
-const UNHEALTHY_AFTER: Micros = Micros::from_millis(5_500);
-pub(super) const SILENT_PEER: Micros = Micros::from_millis(5_000);
+/// Without a read for so long, a controller is unhealthy if a peer has one. Longer than the
+/// staleness at which a controller's gossip says that it lost the store, so that in an
+/// outage the gossip of all says so before.
+const UNHEALTHY_STALENESS: Micros = Micros::from_millis(5_500);
 
 impl Core {
-    /// Whether users should come here: not while we lack the store and another
-    /// node has it. In an outage all lack it, and nobody gains from a removal.
-    pub(super) fn healthy(&self, now: Micros) -> bool {
-        if !self.cache.loaded {
+    /// Whether users should come here: not while this controller lacks the store and another
+    /// has it. In an outage all lack it, and nobody gains from a removal.
+    pub(super) fn is_healthy(&self, now: Micros) -> bool {
+        if !self.store.cache().loaded {
             return false;
         }
-        if now.since(self.read) < UNHEALTHY_AFTER {
+        if now.since(self.store.last_read_at()) < UNHEALTHY_STALENESS {
             return true;
         }
-        let mut fresh = self
-            .peers
-            .values()
-            .filter(|(at, _)| now.since(*at) < Micros::from_millis(3_000))
-            .peekable();
-        // Without the store and without any peer we can't tell an outage from a cut
-        // of our own, and being the odd one out is the likelier.
-        let alone = fresh.peek().is_none() && !self.settings.seeds.is_empty();
-        !alone && !fresh.any(|(_, n)| n.store_reachable)
+        // Without the store and without any peer an outage can't be distinguished from
+        // an isolation of our own, which is the likelier.
+        let has_seeds = !self.configuration.settings.seeds.is_empty();
+        let is_alone = has_seeds && !self.peers.has_recent_state(now);
+        !is_alone && !self.peers.reaches_store(now)
     }
 
-    pub(super) fn store_ok(&self, now: Micros) -> bool {
-        self.cache.loaded && now.since(self.read) < STALE
-    }
-
-    /// Whether a member shows signs of life and hears its workers.
-    pub(super) fn fit(&self, now: Micros, label: &Label) -> bool {
-        if *label == self.settings.label {
-            return now >= self.partitioned_until;
-        }
-        let joined = self.joined.get(label).map_or(Micros::ZERO, |(_, at)| *at);
-        match self.peers.get(label) {
-            Some((at, news)) => {
-                let able = news.workers_reachable && news.store_reachable;
-                now.since((*at).max(joined)) < SILENT_PEER && (able || joined > *at)
-            }
-            None => now.since(joined) < SILENT_PEER,
+    /// Whether a member shows signs of life and reaches its workers.
+    pub(super) fn is_member_fit(&self, now: Micros, label: &Label) -> bool {
+        if *label == self.configuration.settings.label {
+            return self.rebalancing.are_workers_reachable(now);
         }
+        self.peers.is_fit(now, label)
     }
 
-    /// Others are members, but none of them is heard: we may be cut off.
-    pub(super) fn isolated(&self, now: Micros) -> bool {
-        let mut others = self
-            .cache
-            .members
-            .keys()
-            .filter(|l| **l != self.settings.label)
-            .peekable();
-        let since = self.leading_since.unwrap_or(self.started).max(self.started);
-        others.peek().is_some()
-            && now.since(since) > Micros::from_millis(8_000)
-            && others.all(|l| {
-                self.peers
-                    .get(l)
-                    .is_none_or(|(at, _)| now.since(*at) > Micros::from_millis(8_000))
-            })
+    /// Others are members, but none of them sends anything: this controller may be isolated.
+    pub(super) fn is_isolated_from_peers(&self, now: Micros) -> bool {
+        let own_label = &self.configuration.settings.label;
+        let members = self.store.cache().members.keys();
+        let others = members.filter(|label| *label != own_label);
+        self.peers
+            .are_all_silent(now, others, self.election.leading_since())
     }
 }
--- /dev/null
+++ b/src/controller/core/machine_types.rs
@@ -0,0 +1,142 @@
+//! The list of machine types, from the cloud or from the store, and the capacity of the fleet
+//! by it.
+//!
+//! It owns the list that this controller works with. Without one it owns no partition.
+
+use super::Core;
+use super::in_flight::RequestKind;
+use crate::autoscaler::MachineTypes;
+use crate::clock::Micros;
+use crate::cloud::{CloudReply, CloudRequest, MachineType};
+use crate::controller::messages::{Effect, StoreOperation};
+use crate::fairness::Resources;
+use crate::ids::Revision;
+use crate::store::{self, Request, RequestPriority, compare, keys};
+use crate::watch_cache::WatchCache;
+use std::sync::Arc;
+
+/// Spot prices move: the leader requests them again after this.
+const MACHINE_TYPE_REFRESH_INTERVAL: Micros = Micros::from_millis(60_000);
+/// A request that failed is made again after this.
+const MACHINE_TYPE_RETRY_DELAY: Micros = Micros::from_millis(1_000);
+
+/// The machine types and what the fleet adds up to.
+#[derive(Debug, Default)]
+pub(super) struct MachineTypeList {
+    types: Option<MachineTypes>,
+    last_refresh_at: Micros,
+    fleet_capacity: Resources,
+}
+
+impl MachineTypeList {
+    /// The machine types, once they are known.
+    pub(super) fn types(&self) -> Option<&MachineTypes> {
+        self.types.as_ref()
+    }
+
+    /// The machine types, or none.
+    pub(super) fn types_or_empty(&self) -> MachineTypes {
+        self.types.clone().unwrap_or_default()
+    }
+
+    /// What all recorded machines have together.
+    pub(super) fn fleet_capacity(&self) -> Resources {
+        self.fleet_capacity
+    }
+
+    /// Takes over the list that the store has.
+    pub(super) fn adopt_recorded(&mut self, cache: &WatchCache) {
+        if let Some((_, recorded)) = &cache.types
+            && self.types.as_ref().is_none_or(|known| **known != *recorded)
+        {
+            self.types = Some(Arc::new(recorded.clone()));
+        }
+    }
+
+    /// Adds up all recorded machines again.
+    pub(super) fn update_fleet_capacity(&mut self, cache: &WatchCache) {
+        let Some(types) = &self.types else {
+            return;
+        };
+        let mut capacity = Resources::default();
+        for (_, _, machine) in cache.all_machines() {
+            let machine_type = types
+                .iter()
+                .find(|machine_type| machine_type.name == machine.machine_type);
+            if let Some(machine_type) = machine_type {
+                capacity += machine_type.capacity();
+            }
+        }
+        self.fleet_capacity = capacity;
+    }
+}
+
+impl Core {
+    /// Requests the machine types from the cloud while they are unknown.
+    pub(super) fn request_unknown_machine_types(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        if self.store.cache().loaded
+            && self.machine_types.types.is_none()
+            && self.in_flight.begin_request(now, RequestKind::MachineTypes)
+        {
+            out.push(Effect::Cloud(CloudRequest::MachineTypes));
+        }
+    }
+
+    /// The leader requests the machine types again after an interval.
+    pub(super) fn refresh_machine_types(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        let list = &mut self.machine_types;
+        if list.types.is_some()
+            && now.since(list.last_refresh_at) > MACHINE_TYPE_REFRESH_INTERVAL
+            && self.in_flight.begin_request(now, RequestKind::MachineTypes)
+        {
+            list.last_refresh_at = now;
+            out.push(Effect::Cloud(CloudRequest::MachineTypes));
+        }
+    }
+
+    /// Takes in the cloud's reply: the machine types here, all else goes to the autoscaler.
+    pub(super) fn handle_cloud_reply(
+        &mut self,
+        now: Micros,
+        request: CloudRequest,
+        reply: CloudReply,
+        out: &mut Vec<Effect>,
+    ) {
+        if request != CloudRequest::MachineTypes {
+            self.leader_state
+                .autoscaler
+                .handle_cloud_reply(now, request, reply);
+            return;
+        }
+        let CloudReply::MachineTypes(types) = reply else {
+            // Requested again after a while, or read from the store if another controller's
+            // request succeeded.
+            self.in_flight
+                .finish_after(now, RequestKind::MachineTypes, MACHINE_TYPE_RETRY_DELAY);
+            return;
+        };
+        self.in_flight.finish(RequestKind::MachineTypes);
+        self.record_machine_types(&types, out);
+        self.machine_types.types = Some(Arc::new(types));
+        self.reconcile_with_cache(now, out);
+    }
+
+    /// Writes the machine types to the store if it has others.
+    fn record_machine_types(&self, types: &[MachineType], out: &mut Vec<Effect>) {
+        let recorded = self.store.cache().types.as_ref();
+        let (revision, known) = recorded.map_or((Revision(0), &[][..]), |(revision, known)| {
+            (*revision, known.as_slice())
+        });
+        if known == types {
+            return;
+        }
+        out.push(Effect::StoreRequest {
+            operation: StoreOperation::MachineTypes,
+            request: Request::CompareAndSwap {
+                compares: vec![compare(keys::TYPES.into(), revision)],
+                mutations: vec![store::put(keys::TYPES.into(), &types)],
+            },
+            priority: RequestPriority::Normal,
+        });
+    }
+}
--- /dev/null
+++ b/src/controller/core/owned_partitions.rs
@@ -0,0 +1,107 @@
+//! The partitions that this controller owns, as the store's grants say.
+//!
+//! A partition is acquired and lost only by what the cache shows. Replies to an earlier term
+//! never reach a partition.
+
+use super::Core;
+use crate::clock::Micros;
+use crate::ids::{PartitionId, Term};
+use crate::partition_owner::OwnedPartition;
+use crate::partitions::PartitionOwnerRecord;
+use std::collections::BTreeMap;
+
+/// The owned partitions, in the order of their ids.
+#[derive(Default)]
+pub(super) struct OwnedPartitions {
+    partitions: BTreeMap<PartitionId, OwnedPartition>,
+}
+
+impl OwnedPartitions {
+    pub(super) fn is_empty(&self) -> bool {
+        self.partitions.is_empty()
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.partitions.len()
+    }
+
+    pub(super) fn ids(&self) -> Vec<PartitionId> {
+        self.partitions.keys().copied().collect()
+    }
+
+    pub(super) fn last_id(&self) -> Option<PartitionId> {
+        self.partitions.keys().next_back().copied()
+    }
+
+    pub(super) fn values(&self) -> impl Iterator<Item = &OwnedPartition> {
+        self.partitions.values()
+    }
+
+    pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut OwnedPartition> {
+        self.partitions.values_mut()
+    }
+
+    pub(super) fn get_mut(&mut self, id: PartitionId) -> Option<&mut OwnedPartition> {
+        self.partitions.get_mut(&id)
+    }
+
+    /// A partition, if it is owned under this term.
+    pub(super) fn in_term(&mut self, id: PartitionId, term: Term) -> Option<&mut OwnedPartition> {
+        self.get_mut(id).filter(|partition| partition.term == term)
+    }
+
+    /// Drops the partitions whose term the store does not grant to this controller any more.
+    fn drop_lost(&mut self, granted: &BTreeMap<PartitionId, Term>) {
+        self.partitions.retain(|id, partition| {
+            let is_granted = granted.get(id) == Some(&partition.term);
+            if !is_granted {
+                tracing::info!(partition = %id, term = %partition.term, "partition lost");
+            }
+            is_granted
+        });
+    }
+}
+
+impl Core {
+    /// Takes over grants and losses of partitions that the cache shows.
+    pub(super) fn update_ownership(&mut self, now: Micros) {
+        let owners = self.store.cache().partition_owners.iter();
+        let granted = owners
+            .filter(|(_, (_, record))| self.is_own_grant(record))
+            .map(|(id, (_, record))| (*id, record.term))
+            .collect();
+        self.partitions.drop_lost(&granted);
+        self.acquire_granted_partitions(now);
+    }
+
+    /// A granted partition needs the machine types: without them it waits for its owner.
+    fn acquire_granted_partitions(&mut self, now: Micros) {
+        let Some(types) = self.machine_types.types() else {
+            return;
+        };
+        let cache = self.store.cache();
+        for (id, (revision, record)) in &cache.partition_owners {
+            if !self.is_own_grant(record) || self.partitions.partitions.contains_key(id) {
+                continue;
+            }
+            tracing::info!(partition = %id, term = %record.term, "partition acquired");
+            let mut partition = OwnedPartition::new(
+                *id,
+                record,
+                *revision,
+                &self.configuration.settings,
+                &self.configuration.policy,
+                now,
+            );
+            partition.fail_over(now, cache, types);
+            self.partitions.partitions.insert(*id, partition);
+            self.dependencies.mark_out_of_sync();
+        }
+    }
+
+    /// Whether a partition is granted to this incarnation of this controller.
+    fn is_own_grant(&self, record: &PartitionOwnerRecord) -> bool {
+        record.owner == self.configuration.settings.label
+            && Some(record.incarnation) == self.membership.incarnation()
+    }
+}
--- /dev/null
+++ b/src/controller/core/team_usage.rs
@@ -0,0 +1,55 @@
+//! The teams' usage of this controller's partitions, published in the store for the others.
+
+use super::Core;
+use crate::clock::Micros;
+use crate::controller::messages::{Effect, StoreOperation};
+use crate::store::{self, Request, RequestPriority, keys};
+use std::collections::BTreeMap;
+
+const TEAM_USAGE_INTERVAL: Micros = Micros::from_millis(10_000);
+
+/// When the teams' usage was published last.
+#[derive(Debug)]
+pub(super) struct TeamUsagePublisher {
+    last_published_at: Micros,
+}
+
+impl TeamUsagePublisher {
+    /// The first is published an interval after the start.
+    pub(super) fn new(started_at: Micros) -> Self {
+        TeamUsagePublisher {
+            last_published_at: started_at,
+        }
+    }
+
+    fn begin_if_due(&mut self, now: Micros) -> bool {
+        let is_due = now.since(self.last_published_at) >= TEAM_USAGE_INTERVAL;
+        if is_due {
+            self.last_published_at = now;
+        }
+        is_due
+    }
+}
+
+impl Core {
+    pub(super) fn publish_team_usage_if_due(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        if !self.team_usage.begin_if_due(now) {
+            return;
+        }
+        let fleet = self.machine_types.fleet_capacity();
+        let mut heaviness_by_team = BTreeMap::new();
+        for partition in self.partitions.values_mut() {
+            partition.log_usage(now);
+            heaviness_by_team.extend(partition.team_heaviness(fleet));
+        }
+        let key = keys::team_usage(&self.configuration.settings.label);
+        out.push(Effect::StoreRequest {
+            operation: StoreOperation::TeamUsage,
+            request: Request::CompareAndSwap {
+                compares: vec![],
+                mutations: vec![store::put(key, &heaviness_by_team)],
+            },
+            priority: RequestPriority::Background,
+        });
+    }
+}
--- a/src/controller/core/zones.rs
+++ b/src/controller/core/zones.rs
@@ -1,30 +1,48 @@
-//! Zone failover, where it is on: what is seen of the zones, what the leader commits, and
-//! what the held partitions are told.
+//! Zone failover, where it is on: what this controller observes of the zones, what the leader
+//! commits, and what the owned partitions are given.
 
-use super::health::SILENT_PEER;
-use super::*;
+use super::Core;
+use crate::autoscaler;
+use crate::clock::Micros;
+use crate::controller::messages::{Effect, StoreOperation};
 use crate::ids::ZoneId;
+use crate::mesh::Message;
+use crate::partition_owner::MachineCounts;
+use crate::store::{Reply, Request, RequestPriority};
+use std::collections::{BTreeMap, BTreeSet};
 use zone_failover::evidence::ZoneCounts;
 
+/// The other members of a zone.
+#[derive(Debug, Default, Clone, Copy)]
+struct PeerCounts {
+    peers: u32,
+    silent_peers: u32,
+}
+
 impl Core {
-    /// Takes in what was read of the zones, and tells the held partitions.
+    /// Takes in what was read of the zones, and passes it to the owned partitions.
     pub(super) fn sync_zones(&mut self, now: Micros) {
         let Some(zones) = &mut self.zones else {
             return;
         };
-        zones.refresh_if_due(now, &self.cache);
-        for h in self.held.values_mut() {
-            h.update_zones(now, &zones.config, zones.situation());
+        zones.refresh_if_due(now, self.store.cache());
+        for partition in self.partitions.values_mut() {
+            partition.update_zones(now, &zones.config, zones.situation());
         }
     }
 
     /// The leader decides on the zones' states and commits them.
-    pub(super) fn lead_zones(&mut self, now: Micros, wall_clock: Micros, out: &mut Vec<Effect>) {
-        let leading = self.leading();
+    pub(super) fn commit_zone_states(
+        &mut self,
+        now: Micros,
+        wall_clock: Micros,
+        out: &mut Vec<Effect>,
+    ) {
+        let leader = self.leader_compare();
         let Some(zones) = &mut self.zones else {
             return;
         };
-        let Some(leader) = leading else {
+        let Some(leader) = leader else {
             zones.stop_leading(now);
             return;
         };
@@ -41,11 +59,17 @@
         });
     }
 
-    /// What this controller sees of the zones, for itself and for its peers.
+    pub(super) fn handle_zones_reply(&mut self, now: Micros, reply: &Reply) {
+        if let Some(zones) = &mut self.zones {
+            zones.handle_commit_reply(now, reply);
+        }
+    }
+
+    /// What this controller observes of the zones, for itself and for its peers.
     pub(super) fn zone_evidence(&mut self, now: Micros) -> Option<Effect> {
         self.zones.as_ref()?;
         let counts = self.zone_counts(now);
-        let incarnation = self.member.incarnation().unwrap_or_default();
+        let incarnation = self.membership.incarnation().unwrap_or_default();
         let zones = self.zones.as_mut()?;
         let evidence = zones.evidence(now, incarnation, counts);
         Some(Effect::Mesh(Message::ZoneEvidence(evidence)))
@@ -53,56 +77,64 @@
 
     fn zone_counts(&self, now: Micros) -> Vec<ZoneCounts> {
         // Guards against taking our own isolation for the loss of all zones but ours.
-        if now < self.partitioned_until || self.isolated(now) || !self.store_ok(now) {
+        let is_isolated =
+            !self.rebalancing.are_workers_reachable(now) || self.is_isolated_from_peers(now);
+        if is_isolated || !self.store.is_fresh(now) {
             return Vec::new();
         }
-        let mut machines: BTreeMap<ZoneId, partition_owner::MachineCounts> = BTreeMap::new();
-        for (zone, counts) in self.held.values().flat_map(|h| h.zone_counts(now)) {
-            let sum = machines.entry(zone).or_default();
-            sum.machines += counts.machines;
-            sum.silent += counts.silent;
-            sum.waiting += counts.waiting;
-        }
+        let machines = self.machines_by_zone(now);
         let peers = self.peers_by_zone(now);
         let zones: BTreeSet<&ZoneId> = machines.keys().chain(peers.keys()).collect();
         zones
             .into_iter()
             .map(|zone| {
                 let machines = machines.get(zone).copied().unwrap_or_default();
-                let (peers, silent_peers) = peers.get(zone).copied().unwrap_or_default();
+                let peers = peers.get(zone).copied().unwrap_or_default();
                 ZoneCounts {
                     zone: zone.clone(),
                     machines: machines.machines,
                     silent: machines.silent,
-                    peers,
-                    silent_peers,
+                    peers: peers.peers,
+                    silent_peers: peers.silent_peers,
                     waiting: machines.waiting,
                 }
             })
             .collect()
     }
 
+    /// The machines of the owned partitions, by zone.
+    fn machines_by_zone(&self, now: Micros) -> BTreeMap<ZoneId, MachineCounts> {
+        let mut by_zone: BTreeMap<ZoneId, MachineCounts> = BTreeMap::new();
+        let partitions = self.partitions.values();
+        for (zone, counts) in partitions.flat_map(|partition| partition.zone_counts(now)) {
+            let total = by_zone.entry(zone).or_default();
+            total.machines += counts.machines;
+            total.silent += counts.silent;
+            total.waiting += counts.waiting;
+        }
+        by_zone
+    }
+
     /// The other controllers that take part, and those of them that are silent, by zone.
-    fn peers_by_zone(&self, now: Micros) -> BTreeMap<ZoneId, (u32, u32)> {
-        let mut by_zone: BTreeMap<ZoneId, (u32, u32)> = BTreeMap::new();
-        for seed in &self.settings.seeds {
+    fn peers_by_zone(&self, now: Micros) -> BTreeMap<ZoneId, PeerCounts> {
+        let mut by_zone: BTreeMap<ZoneId, PeerCounts> = BTreeMap::new();
+        for seed in &self.configuration.settings.seeds {
             let Some(zone) = &seed.zone else {
                 continue;
             };
-            if !self.cache.members.contains_key(&seed.label) {
+            if !self.store.cache().members.contains_key(&seed.label) {
                 continue;
             }
-            let heard = self.peers.get(&seed.label);
-            let silent = heard.is_none_or(|(at, _)| now.since(*at) > SILENT_PEER);
-            let of_zone = by_zone.entry(zone.clone()).or_default();
-            of_zone.0 += 1;
-            of_zone.1 += u32::from(silent);
+            let counts = by_zone.entry(zone.clone()).or_default();
+            counts.peers += 1;
+            counts.silent_peers += u32::from(self.peers.is_silent(now, &seed.label));
         }
         by_zone
     }
 
-    /// Machines that are about to be rented in a lost zone, to see whether it is back.
-    pub(super) fn note_probes(&mut self, now: Micros, effects: &[autoscaler::Effect]) {
+    /// Records scale-outs that are about to begin in a lost zone, to find out whether it is
+    /// back.
+    pub(super) fn note_zone_probes(&mut self, now: Micros, effects: &[autoscaler::Effect]) {
         let Some(zones) = &mut self.zones else {
             return;
         };
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -1,4 +1,7 @@
-//! What the core is told and what it decides: messages and effects, types only.
+//! The messages that go into the core and the effects that come out of it: types only.
+//!
+//! Whoever feeds the core converts to these types at its edge; the core knows no other way in
+//! or out.
 
 use crate::api::ports::{ApiView, HeartbeatAnswer};
 use crate::api::read_index::JobLookup;
@@ -12,7 +15,7 @@
 use crate::workers::{DirectCommand, Heartbeat};
 use std::sync::Arc;
 
-/// Who asked the store, as the answer comes back.
+/// What a request to the store is for, as it comes back with the reply.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreOperation {
     /// This controller's membership.
@@ -21,32 +24,89 @@
     LeaderLease,
     /// Becoming the leader.
     Candidacy,
-    /// Giving up the lead.
+    /// Giving up leadership.
     StepDown,
     /// Grants of partitions.
     PartitionGrants,
     /// The list of machine types.
     MachineTypes,
-    /// The teams' sums.
+    /// The teams' usage of this controller's partitions.
     TeamUsage,
     /// Handing a partition back.
-    HandBackPartition(PartitionId, Term),
-    /// An owner's write, for the partition and the term that it was made under.
-    OwnedPartition(PartitionId, Term, partition_owner::Write),
-    /// The record of an ended job that a user asks about.
+    HandBackPartition {
+        /// The partition.
+        partition: PartitionId,
+        /// The term that it is owned under.
+        term: Term,
+    },
+    /// A write of a partition's owner.
+    PartitionWrite {
+        /// The partition.
+        partition: PartitionId,
+        /// The term that the write was made under.
+        term: Term,
+        /// What was written.
+        write: partition_owner::Write,
+    },
+    /// The record of an ended job that a user looks up.
     EndedJobLookup(JobId),
-    /// A job that an owner does not know, but a machine of its partition shows.
-    UnknownJob(PartitionId, Term, JobId),
-    /// The record of an ended job that others need.
+    /// The record of a job that an owner does not know, but a machine of its partition runs.
+    UnknownJob {
+        /// The partition.
+        partition: PartitionId,
+        /// The term that it is owned under.
+        term: Term,
+        /// The job.
+        job: JobId,
+    },
+    /// The record of an ended job that others depend on.
     DependencyEnd(JobId),
     /// The format level that every controller understands.
     FormatLevel,
-    /// Clearing what ended jobs left behind.
+    /// Deleting the progress pages of ended jobs.
     GarbageCollection,
     /// The states of all zones.
     Zones,
-    /// A write of the fleet's manager, under this leadership.
-    Autoscaler(Revision, autoscaler::Write),
+    /// A write of the autoscaler.
+    AutoscalerWrite {
+        /// The revision of the leader's key, which names the leadership.
+        leader_revision: Revision,
+        /// What was written.
+        write: autoscaler::Write,
+    },
+}
+
+/// All of the store's records, read from the start.
+#[derive(Debug)]
+pub struct StoreSnapshot {
+    /// All that is below the root.
+    pub entries: Vec<KeyValue>,
+    /// The revision that the read has reached.
+    pub revision: Revision,
+    /// When the read was requested.
+    pub requested_at: Micros,
+}
+
+/// Changes of the store since the last read.
+#[derive(Debug)]
+pub struct StoreChanges {
+    /// The changes in their order.
+    pub events: Vec<WatchEvent>,
+    /// The revision that the read has reached.
+    pub revision: Revision,
+    /// When the read was requested.
+    pub requested_at: Micros,
+}
+
+/// What became of a direct command.
+#[derive(Debug)]
+pub enum DirectAnswer {
+    /// The worker's heartbeat after it.
+    Heartbeat(Heartbeat),
+    /// It was surely not sent.
+    NotSent,
+    /// It may still arrive.
+    Indeterminate,
 }
 
 /// A message to the core.
@@ -55,40 +115,26 @@
     /// Time has passed.
     Tick,
     /// The store was read from the start.
-    Loaded {
-        /// All that is below the root.
-        entries: Vec<KeyValue>,
-        /// The revision that the reading has reached.
-        revision: u64,
-        /// When the reading was asked for.
-        requested_at: Micros,
-    },
-    /// Changes of the store since the last reading.
-    Changes {
-        /// The changes in their order.
-        events: Vec<WatchEvent>,
-        /// The revision that the reading has reached.
-        revision: u64,
-        /// When the reading was asked for.
-        requested_at: Micros,
-    },
-    /// The store's answer.
+    Loaded(StoreSnapshot),
+    /// The store has changed, or has been read without a change.
+    Changes(StoreChanges),
+    /// The store's reply.
     StoreReply {
-        /// What was asked.
+        /// What the request was for.
         operation: StoreOperation,
-        /// What it answered.
+        /// The reply.
         reply: Reply,
     },
-    /// A worker's report.
+    /// A worker's heartbeat.
     Heartbeat {
-        /// What it reported.
+        /// The heartbeat.
         heartbeat: Heartbeat,
         /// Names the answer.
         request_id: u64,
     },
-    /// How does this job stand?
+    /// A user looks up the state of a job.
     JobLookup {
-        /// The job that is asked about.
+        /// The job.
         id: JobId,
         /// Names the answer.
         request_id: u64,
@@ -97,18 +143,18 @@
     DirectCommandReply {
         /// The partition that the machine was in.
         partition: PartitionId,
-        /// The term under which it was sent.
+        /// The term under which the command was sent.
         term: Term,
         /// The machine that it was sent to.
         machine: MachineId,
         /// The answer, or that there is none.
         answer: DirectAnswer,
     },
-    /// The cloud's answer.
+    /// The cloud's reply.
     CloudReply {
-        /// What was asked.
+        /// The request.
         request: CloudRequest,
-        /// What it answered.
+        /// The reply.
         reply: CloudReply,
     },
     /// A peer's message.
@@ -122,39 +168,28 @@
     },
 }
 
-/// What became of a direct command.
-#[derive(Debug)]
-pub enum DirectAnswer {
-    /// The worker's report after it.
-    Heartbeat(Heartbeat),
-    /// It surely did not go out.
-    NotSent,
-    /// It may still arrive.
-    Indeterminate,
-}
-
-/// What the core wants done.
+/// What the core decided, for the driver to carry out.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// Ask the state service.
+    /// Send a request to the store.
     StoreRequest {
-        /// Comes back with the answer.
+        /// Comes back with the reply.
         operation: StoreOperation,
-        /// What to ask.
+        /// The request.
         request: Request,
-        /// Who goes first when the budget is short.
+        /// Which requests go first when the budget is short.
         priority: RequestPriority,
     },
-    /// Answer a worker's report.
+    /// Answer a worker's heartbeat.
     AnswerHeartbeat {
-        /// Of the report.
+        /// Of the heartbeat.
         request_id: u64,
         /// The answer.
         answer: HeartbeatAnswer,
     },
-    /// Answer a question how a job stands.
+    /// Answer a user's lookup of a job.
     AnswerJobLookup {
-        /// Of the question.
+        /// Of the lookup.
         request_id: u64,
         /// The answer.
         lookup: JobLookup,
@@ -171,13 +206,13 @@
         addr: String,
         /// The command.
         command: DirectCommand,
-        /// Not to be sent from then on: our lease may be over.
+        /// Not to be sent from then on: the owner's lease may have expired.
         send_before: Micros,
     },
-    /// Ask the cloud.
+    /// Send a request to the cloud.
     Cloud(CloudRequest),
-    /// To all peers.
+    /// Send a message to all peers.
     Mesh(Message),
-    /// Publish what the users' side needs to know.
+    /// Publish the API's view of this controller.
     PublishView(Arc<ApiView>),
 }
--- a/src/controller/tests/characterization.rs
+++ b/src/controller/tests/characterization.rs
@@ -10,7 +10,7 @@
 use crate::api::ports::{ApiView, HeartbeatAnswer};
 use crate::api::read_index::JobLookup;
 use crate::clock::Micros;
-use crate::controller::direct_request;
+use crate::controller::direct_commands::direct_request;
 use crate::controller::messages::Effect;
 use crate::http_client::HttpRequest;
 use crate::{cloud, mesh, store};
--- a/src/controller/tests/dependencies.rs
+++ b/src/controller/tests/dependencies.rs
@@ -184,7 +184,7 @@
         .core
         .as_mut()
         .expect("a core")
-        .hear(w.now, crate::mesh::Message::Cancelled { job, revision });
+        .handle_peer_message(w.now, crate::mesh::Message::Cancelled { job, revision });
     w.pass(2.0);
     assert!(w.started_ever("j-2"));
     w.finish_all();
--- a/src/controller/tests/world.rs
+++ b/src/controller/tests/world.rs
@@ -1,7 +1,9 @@
 //! A scripted store, cloud and workers around the cores, under a fake clock.
 
 use super::super::core::Core;
-use super::super::messages::{DirectAnswer, Effect, Input, StoreOperation};
+use super::super::messages::{
+    DirectAnswer, Effect, Input, StoreChanges, StoreOperation, StoreSnapshot,
+};
 use super::characterization::WireRecorder;
 use crate::api::ports::{ApiView, HeartbeatAnswer};
 use crate::api::read_index::JobLookup;
@@ -522,7 +524,7 @@
                             }
                             if let Some(peer) = self.nodes[j].core.as_mut() {
                                 // What peers do about it, they do at their next tick.
-                                peer.hear(now, message.clone());
+                                peer.handle_peer_message(now, message.clone());
                             }
                         }
                     }
@@ -560,7 +562,7 @@
         }
         if self.hold_job_txns
             && let (
-                StoreOperation::OwnedPartition(..),
+                StoreOperation::PartitionWrite { .. },
                 Request::CompareAndSwap {
                     compares,
                     mutations,
@@ -895,18 +897,18 @@
             let since = self.nodes[i].since;
             let new = self.store.log.partition_point(|c| c.revision.0 <= since);
             let log: Vec<WatchEvent> = self.store.log[new..].to_vec();
-            Input::Changes {
+            Input::Changes(StoreChanges {
                 events: log,
-                revision,
+                revision: Revision(revision),
                 requested_at: sent,
-            }
+            })
         } else {
             self.nodes[i].loaded = true;
-            Input::Loaded {
+            Input::Loaded(StoreSnapshot {
                 entries: self.store.rows(),
-                revision,
+                revision: Revision(revision),
                 requested_at: sent,
-            }
+            })
         };
         self.nodes[i].since = revision;
         self.feed(i, input);
