--- a/src/controller/core/api_view.rs
+++ b/src/controller/core/api_view.rs
@@ -34,6 +34,7 @@
 }
 
 impl Core {
+    /// Computes the view again, if an interval has passed.
     pub(super) fn publish_api_view_if_due(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if now.since(self.api_view.last_computed_at) >= API_VIEW_INTERVAL {
             self.publish_api_view(now, out);
--- a/src/controller/core/autoscaling.rs
+++ b/src/controller/core/autoscaling.rs
@@ -1,4 +1,6 @@
 //! The leader runs the autoscaler, and its effects become the controller's.
+//!
+//! It holds no state. Replies to an earlier leadership never reach the autoscaler.
 
 use super::Core;
 use crate::autoscaler::{self, FleetSnapshot};
--- a/src/controller/core/dependencies.rs
+++ b/src/controller/core/dependencies.rs
@@ -23,6 +23,7 @@
 }
 
 impl DependencyTracker {
+    /// The graph as it is now.
     pub(super) fn graph(&self) -> &DependencyGraph {
         &self.graph
     }
@@ -78,6 +79,7 @@
         }));
     }
 
+    /// Takes in the record of an ended job that others depend on.
     pub(super) fn handle_dependency_end_reply(
         &mut self,
         now: Micros,
--- a/src/controller/core/effects.rs
+++ b/src/controller/core/effects.rs
@@ -1,4 +1,6 @@
-//! The effects of a controller's parts as its own.
+//! The effects of a controller's parts, converted to its own.
+//!
+//! It holds no state; it adds the operation, the priority and the term to each effect.
 
 use crate::api::read_index;
 use crate::clock::Micros;
--- a/src/controller/core/format_level.rs
+++ b/src/controller/core/format_level.rs
@@ -74,6 +74,7 @@
         ));
     }
 
+    /// Takes in the reply to a raise of the format level.
     pub(super) fn handle_format_level_reply(&mut self, reply: &Reply) {
         // Until the cache shows a committed one, the same would be written again.
         if !matches!(reply, Reply::Committed(_)) {
--- a/src/controller/core/garbage_collection.rs
+++ b/src/controller/core/garbage_collection.rs
@@ -1,4 +1,6 @@
 //! The leader deletes the progress pages of ended jobs, a few at a time.
+//!
+//! It owns when it did so last. It must never delete a page of a job that has not ended.
 
 use super::Core;
 use crate::clock::Micros;
@@ -28,6 +30,7 @@
 }
 
 impl Core {
+    /// Deletes some of the pages, if this controller leads and an interval has passed.
     pub(super) fn collect_garbage(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if !self.leader_state.garbage_collector.begin_if_due(now) {
             return;
--- a/src/controller/core/health.rs
+++ b/src/controller/core/health.rs
@@ -1,5 +1,8 @@
 //! Whether users should come here, which members are fit to own partitions, and whether this
 //! controller is isolated.
+//!
+//! It holds no state: it combines the store reader, the peer table and the reachability of the
+//! workers.
 
 use super::Core;
 use crate::clock::Micros;
--- a/src/controller/core/heartbeats.rs
+++ b/src/controller/core/heartbeats.rs
@@ -11,6 +11,7 @@
 use crate::workers::Heartbeat;
 
 impl Core {
+    /// The answer to a worker's heartbeat: from the partition of its machine, if it is owned here.
     pub(super) fn handle_heartbeat(
         &mut self,
         now: Micros,
@@ -48,6 +49,7 @@
             .map_or(HeartbeatAnswer::Unavailable, HeartbeatAnswer::Accepted)
     }
 
+    /// Passes on what became of a direct command, unless the partition's term has ended.
     pub(super) fn handle_direct_command_reply(
         &mut self,
         now: Micros,
--- a/src/controller/core/leadership.rs
+++ b/src/controller/core/leadership.rs
@@ -1,7 +1,7 @@
 //! What only the leader does, and the state that only it needs.
 //!
-//! All that a leader writes is written under the condition that this controller still leads, so a leader
-//! that has been replaced changes nothing.
+//! Every controller keeps that state, so that it can lead at once. All that a leader writes is
+//! conditional on its leadership, so one that has been replaced changes nothing.
 
 use super::Core;
 use super::format_level::SeenFormatLevels;
@@ -21,6 +21,7 @@
 }
 
 impl LeaderState {
+    /// The state of a controller that has never led.
     pub(super) fn new(settings: &Settings, policy: &Policy) -> Self {
         LeaderState {
             autoscaler: Autoscaler::new(settings, policy),
--- a/src/controller/core/owned_partitions.rs
+++ b/src/controller/core/owned_partitions.rs
@@ -17,30 +17,37 @@
 }
 
 impl OwnedPartitions {
+    /// Whether no partition is owned.
     pub(super) fn is_empty(&self) -> bool {
         self.partitions.is_empty()
     }
 
+    /// How many partitions are owned.
     pub(super) fn len(&self) -> usize {
         self.partitions.len()
     }
 
+    /// The ids of the owned partitions, in their order.
     pub(super) fn ids(&self) -> Vec<PartitionId> {
         self.partitions.keys().copied().collect()
     }
 
+    /// The highest id of the owned partitions.
     pub(super) fn last_id(&self) -> Option<PartitionId> {
         self.partitions.keys().next_back().copied()
     }
 
+    /// The owned partitions, in the order of their ids.
     pub(super) fn values(&self) -> impl Iterator<Item = &OwnedPartition> {
         self.partitions.values()
     }
 
+    /// The owned partitions, in the order of their ids.
     pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut OwnedPartition> {
         self.partitions.values_mut()
     }
 
+    /// A partition, if it is owned.
     pub(super) fn get_mut(&mut self, id: PartitionId) -> Option<&mut OwnedPartition> {
         self.partitions.get_mut(&id)
     }
@@ -74,7 +81,8 @@
         self.acquire_granted_partitions(now);
     }
 
-    /// A granted partition needs the machine types: without them it waits for its owner.
+    /// Fails granted partitions over to this controller. Without the machine types it can't
+    /// know what their machines hold, so the partitions wait.
     fn acquire_granted_partitions(&mut self, now: Micros) {
         let Some(types) = self.machine_types.types() else {
             return;
--- a/src/controller/core/partition_grants.rs
+++ b/src/controller/core/partition_grants.rs
@@ -1,4 +1,7 @@
 //! The leader grants partitions without a living owner to members.
+//!
+//! It decides when grants may be written; which member gets a partition is for `leader` to
+//! decide. It never grants what a living member owns.
 
 use super::Core;
 use super::effects::critical_write;
@@ -14,6 +17,7 @@
 const COMMITTED_GRANTS_DELAY: Micros = Micros::from_millis(600);
 
 impl Core {
+    /// Grants every partition without a living owner, as far as one transaction goes.
     pub(super) fn grant_partitions(
         &mut self,
         now: Micros,
@@ -55,6 +59,7 @@
             || now.since(leading_since) > INITIAL_JOIN_TIMEOUT
     }
 
+    /// Takes in the reply to a write of grants.
     pub(super) fn handle_grants_reply(&mut self, now: Micros, reply: &Reply) {
         let kind = RequestKind::PartitionGrants;
         if matches!(reply, Reply::Committed(_)) {
--- a/src/controller/core/partition_rebalancing.rs
+++ b/src/controller/core/partition_rebalancing.rs
@@ -37,6 +37,7 @@
 }
 
 impl Core {
+    /// Hands back all partitions, one, or none, and repeats what has no answer yet.
     pub(super) fn rebalance_partitions(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if self.has_isolated_partition(now) {
             self.hand_back_all_partitions(now, out);
--- a/src/controller/core/periodic_checks.rs
+++ b/src/controller/core/periodic_checks.rs
@@ -1,4 +1,8 @@
-//! What a controller does with time alone, in its order.
+//! What a controller does as time passes, without any message: its periodic checks, in their
+//! order.
+//!
+//! Outside its lease a controller only keeps its membership up, answers users and sends gossip;
+//! it must not act for its partitions.
 
 use super::Core;
 use super::effects::{partition_effect, read_index_effect};
@@ -7,6 +11,7 @@
 use crate::store::RequestPriority;
 
 impl Core {
+    /// Runs all checks that are due.
     pub(super) fn run_periodic_checks(
         &mut self,
         now: Micros,
--- a/src/controller/core/store_replies.rs
+++ b/src/controller/core/store_replies.rs
@@ -1,4 +1,6 @@
 //! The store's replies, each to the part that made the request.
+//!
+//! It decides nothing: what a reply means is known where the request was made.
 
 use super::Core;
 use super::in_flight::RequestKind;
@@ -9,6 +11,7 @@
 use crate::store::Reply;
 
 impl Core {
+    /// Passes a reply on to the part that made the request.
     pub(super) fn handle_store_reply(
         &mut self,
         now: Micros,
--- a/src/controller/core/team_usage.rs
+++ b/src/controller/core/team_usage.rs
@@ -1,4 +1,6 @@
 //! The teams' usage of this controller's partitions, published in the store for the others.
+//!
+//! It owns when it was published last. It never reads what the others publish.
 
 use super::Core;
 use crate::clock::Micros;
@@ -22,6 +24,7 @@
         }
     }
 
+    /// Whether the usage is to be published now; if so, next after an interval.
     fn begin_if_due(&mut self, now: Micros) -> bool {
         let is_due = now.since(self.last_published_at) >= TEAM_USAGE_INTERVAL;
         if is_due {
@@ -32,6 +35,7 @@
 }
 
 impl Core {
+    /// Publishes the usage, if an interval has passed.
     pub(super) fn publish_team_usage_if_due(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if !self.team_usage.begin_if_due(now) {
             return;
--- a/src/controller/core/zones.rs
+++ b/src/controller/core/zones.rs
@@ -1,5 +1,8 @@
 //! Zone failover, where it is on: what this controller observes of the zones, what the leader
 //! commits, and what the owned partitions are given.
+//!
+//! It owns no state: that is in the subsystem. While this controller may itself be isolated, it
+//! gives no evidence against any zone.
 
 use super::Core;
 use crate::autoscaler;
@@ -59,6 +62,7 @@
         });
     }
 
+    /// Takes in the reply to a commit of the zones' states.
     pub(super) fn handle_zones_reply(&mut self, now: Micros, reply: &Reply) {
         if let Some(zones) = &mut self.zones {
             zones.handle_commit_reply(now, reply);
