--- a/src/controller/tests/characterization.rs
+++ b/src/controller/tests/characterization.rs
@@ -1,4 +1,4 @@
-//! The behaviour of the controllers, pinned: seeded histories of the scripted world are
+//! The behaviour of the controllers, pinned: seeded histories of the simulation are
 //! played, and all effects of all controllers are digested in order and in the form that
 //! they have on the wire. No Rust name goes into the digest, so a change that only renames
 //! or restructures leaves the snapshot as it is.
@@ -6,7 +6,7 @@
 //! A change that is meant to decide differently renews the snapshot:
 //! `INSTA_UPDATE=always cargo test --lib characterization`, and says so in its commit.
 
-use super::pairs::{Kind, recorded_pair};
+use super::fault_pairs::{HistoryKind, recorded_pair};
 use crate::api::ports::{ApiView, HeartbeatAnswer};
 use crate::api::read_index::JobLookup;
 use crate::clock::Micros;
@@ -64,18 +64,18 @@
             ("store", format!("{} {http}", *priority as u8))
         }
         Effect::AnswerHeartbeat { answer, .. } => ("worker", worker_form(answer)),
-        Effect::AnswerJobLookup {
-            request_id,
-            lookup: found,
-        } => ("user", format!("{request_id} {}", user_form(found))),
+        Effect::AnswerJobLookup { request_id, lookup } => {
+            ("user", format!("{request_id} {}", user_form(lookup)))
+        }
         Effect::SendDirectCommand {
             addr,
-            command: direct,
-            send_before: until,
+            command,
+            send_before,
             ..
         } => {
-            let http = direct_request(direct).expect("a direct command is JSON");
-            ("direct", format!("{addr} {} {}", until.0, http_form(&http)))
+            let http = direct_request(command).expect("a direct command is JSON");
+            let form = format!("{addr} {} {}", send_before.0, http_form(&http));
+            ("direct", form)
         }
         Effect::Cloud(request) => ("cloud", http_form(&cloud::client::http_request(request))),
         Effect::Mesh(message) => {
@@ -96,16 +96,16 @@
 
 fn worker_form(answer: &HeartbeatAnswer) -> String {
     match answer {
-        HeartbeatAnswer::Accepted(orders) => {
-            format!("200 {} {}", orders.valid_until.0, json!(orders))
+        HeartbeatAnswer::Accepted(response) => {
+            format!("200 {} {}", response.valid_until.0, json!(response))
         }
         HeartbeatAnswer::Redirect(label) => format!("421 {label}"),
         HeartbeatAnswer::Unavailable => "503".to_owned(),
     }
 }
 
-fn user_form(found: &JobLookup) -> Value {
-    match found {
+fn user_form(lookup: &JobLookup) -> Value {
+    match lookup {
         JobLookup::Live {
             revision,
             state,
@@ -130,22 +130,22 @@
 }
 
 /// The digests of histories of one kind, a line each.
-fn summaries(kind: Kind) -> String {
+fn summaries(kind: HistoryKind) -> String {
     let line = |seed| format!("seed {seed}: {}", recorded_pair(seed, kind).summary());
     SEEDS.map(line).collect::<Vec<_>>().join("\n")
 }
 
 #[test]
 fn characterization_of_pairs_of_troubles() {
-    insta::assert_snapshot!(summaries(Kind::Plain));
+    insta::assert_snapshot!(summaries(HistoryKind::Plain));
 }
 
 #[test]
 fn characterization_of_pairs_of_troubles_with_chains() {
-    insta::assert_snapshot!(summaries(Kind::Chains));
+    insta::assert_snapshot!(summaries(HistoryKind::Dependencies));
 }
 
 #[test]
 fn characterization_of_pairs_of_troubles_with_lost_zones() {
-    insta::assert_snapshot!(summaries(Kind::Zones));
+    insta::assert_snapshot!(summaries(HistoryKind::LostZone));
 }
--- a/src/controller/tests/dependencies.rs
+++ b/src/controller/tests/dependencies.rs
@@ -1,292 +1,301 @@
-//! Jobs that need others: nothing starts early, what is behind a cancelled job is
-//! cancelled with it, and what the last one needs is done in time.
+//! Jobs that depend on others: nothing starts early, dependents of a cancelled job are cancelled
+//! with it, and dependencies of an urgent job are done in time.
 
-use super::world::World;
-use super::*;
+use super::simulation::Simulation;
 use crate::api::read_index::JobLookup;
 use crate::ids::{JobId, Revision};
-use crate::jobs::{JobDesc, Priority};
+use crate::jobs::tests::desc;
+use crate::jobs::{JobDesc, JobState, Priority};
+use crate::mesh::Message;
+use crate::store::{self, keys};
 
-/// A job of two tasks that needs others.
-fn needing(id: &str, before: &[&str]) -> JobDesc {
+/// A job of two tasks that depends on others.
+fn dependent(id: &str, dependencies: &[&str]) -> JobDesc {
     let mut job = desc(id, 2);
-    job.dependencies = before.iter().map(|b| JobId::from(*b)).collect();
+    job.dependencies = dependencies.iter().map(|id| JobId::from(*id)).collect();
     job
 }
 
-/// How each node says that a job stands.
-fn told(w: &mut World, id: &str) -> Vec<JobLookup> {
-    w.found.clear();
-    let nodes = w.nodes.len();
-    for node in 0..nodes {
-        w.ask_for(node, id, 1);
+/// The status of a job by each controller.
+fn look_up_everywhere(simulation: &mut Simulation, id: &str) -> Vec<JobLookup> {
+    simulation.users.lookups.clear();
+    let controllers = simulation.controllers.len();
+    for controller in 0..controllers {
+        simulation.look_up(controller, id, 1);
     }
-    w.pass(0.5);
-    assert_eq!(w.found.len(), nodes);
-    std::mem::take(&mut w.found)
+    simulation.advance(0.5);
+    assert_eq!(simulation.users.lookups.len(), controllers);
+    simulation
+        .users
+        .take_lookups()
         .into_iter()
-        .map(|(_, _, found)| found)
+        .map(|answer| answer.lookup)
         .collect()
 }
 
-fn all_say_cancelled(w: &mut World, id: &str) {
-    for found in told(w, id) {
-        let JobLookup::Ended(record) = found else {
-            panic!("{id}: {found:?}");
+fn assert_cancelled_everywhere(simulation: &mut Simulation, id: &str) {
+    for lookup in look_up_everywhere(simulation, id) {
+        let JobLookup::Ended(record) = lookup else {
+            panic!("{id}: {lookup:?}");
         };
         assert_eq!(record.state, JobState::Cancelled, "{id}");
     }
 }
 
-/// Cancels as a user's request does: the store first, then the word of it.
-fn cancel(w: &mut World, by: usize, id: &str) {
-    w.cancel(id);
-    let (job, revision) = (id.into(), Revision(w.store.revision));
-    w.feed(by, Input::Cancelled { job, revision });
-}
-
 #[test]
-fn a_job_starts_only_after_all_before_it_are_stored_as_done() {
-    let mut w = started(2, 2);
-    w.submit(&desc("j-1", 2));
-    w.submit(&desc("j-2", 2));
-    w.submit(&needing("j-3", &["j-1", "j-2"]));
-    w.submit(&needing("j-4", &["j-3"]));
-    w.pass(3.0);
-    assert_eq!(w.all_running(), 4);
-    w.finish("j-1/0");
-    w.finish("j-1/1");
-    w.pass(3.0);
-    assert_eq!(w.ended("j-1"), Some(JobState::Done));
-    assert_eq!(w.all_running(), 2, "the other is not done yet");
-    // All of its tasks have ended, and reports say so, but it is not stored.
-    w.hold_job_txns = true;
-    w.finish_all();
-    w.pass(5.0);
-    assert_eq!(w.all_running(), 0);
-    w.hold_job_txns = false;
-    w.pass(2.0);
-    assert_eq!(w.running("j-3/0").len() + w.running("j-3/1").len(), 2);
-    w.finish_all();
-    w.pass(2.0);
-    assert_eq!(w.running("j-4/0").len(), 1);
+fn job_starts_only_after_its_dependencies_are_stored_as_done() {
+    let mut simulation = Simulation::started(2, 2);
+    simulation.submit(&desc("j-1", 2));
+    simulation.submit(&desc("j-2", 2));
+    simulation.submit(&dependent("j-3", &["j-1", "j-2"]));
+    simulation.submit(&dependent("j-4", &["j-3"]));
+    simulation.advance(3.0);
+    assert_eq!(simulation.running_count(), 4);
+    simulation.finish("j-1/0");
+    simulation.finish("j-1/1");
+    simulation.advance(3.0);
+    assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
+    assert_eq!(simulation.running_count(), 2, "the other is not done yet");
+    // All tasks have ended, and heartbeats report it, but the end is not stored.
+    simulation.network.holds_owner_transactions = true;
+    simulation.finish_all();
+    simulation.advance(5.0);
+    assert_eq!(simulation.running_count(), 0);
+    simulation.network.holds_owner_transactions = false;
+    simulation.advance(2.0);
+    assert_eq!(
+        simulation.workers_running("j-3/0").len() + simulation.workers_running("j-3/1").len(),
+        2
+    );
+    simulation.finish_all();
+    simulation.advance(2.0);
+    assert_eq!(simulation.workers_running("j-4/0").len(), 1);
 }
 
 #[test]
-fn a_failover_and_an_end_of_all_start_nothing_early() {
-    let mut w = started(3, 2);
-    w.submit(&desc("j-1", 2));
-    w.submit(&needing("j-2", &["j-1"]));
-    w.submit(&needing("j-3", &["j-2"]));
-    w.pass(3.0);
-    let owner = w.owner();
-    w.crash(owner);
-    w.pass(40.0);
-    assert_eq!(w.all_running(), 2, "only the first one");
-    w.finish_all();
-    w.pass(1.0);
-    assert_eq!(w.ended("j-1"), Some(JobState::Done));
-    // Whoever comes knows the first one's end from its record only.
-    for i in 0..3 {
-        w.crash(i);
-    }
-    for i in 0..3 {
-        w.start(i);
-    }
-    w.pass(45.0);
-    assert!(w.started_ever("j-2") && !w.started_ever("j-3"));
-    w.finish_all();
-    w.pass(3.0);
-    assert!(w.started_ever("j-3"));
+fn failover_and_restart_of_all_start_no_dependent_early() {
+    let mut simulation = Simulation::started(3, 2);
+    simulation.submit(&desc("j-1", 2));
+    simulation.submit(&dependent("j-2", &["j-1"]));
+    simulation.submit(&dependent("j-3", &["j-2"]));
+    simulation.advance(3.0);
+    simulation.crash_owner();
+    simulation.advance(40.0);
+    assert_eq!(simulation.running_count(), 2, "only the first one");
+    simulation.finish_all();
+    simulation.advance(1.0);
+    assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
+    // The next owner knows the end of the first job from its record only.
+    simulation.crash_all_controllers();
+    simulation.start_all_controllers();
+    simulation.advance(45.0);
+    assert!(simulation.has_started("j-2") && !simulation.has_started("j-3"));
+    simulation.finish_all();
+    simulation.advance(3.0);
+    assert!(simulation.has_started("j-3"));
 }
 
 #[test]
-fn while_it_waits_it_counts_for_nothing_and_its_times_begin_when_it_is_ready() {
-    let mut w = started(1, 1);
-    w.renting = true;
-    w.submit(&desc("j-1", 2));
-    // Far too large for the machine that is up, and urgent; of the same team.
-    let mut large = needing("j-2", &["j-1"]);
+fn waiting_dependent_holds_no_capacity_and_its_wait_begins_when_it_is_ready() {
+    let mut simulation = Simulation::started(1, 1);
+    simulation.cloud.has_capacity = true;
+    simulation.submit(&desc("j-1", 2));
+    // Larger than the machine that is up, and urgent; of the same team.
+    let mut large = dependent("j-2", &["j-1"]);
     (large.tasks, large.cores, large.priority) = (4, 4.0, Priority::Production);
-    w.submit(&large);
+    simulation.submit(&large);
     let mut small = desc("j-3", 6);
     (small.priority, small.deadline_s) = (Priority::Idle, None);
-    w.pass(200.0);
-    w.submit(&small);
-    w.pass(3.0);
-    assert_eq!(w.workers.len(), 1, "nothing is rented for it");
-    assert_eq!(w.all_running(), 8, "it keeps no room, and starves nobody");
-    w.finish("j-1/0");
-    w.finish("j-1/1");
-    w.pass(60.0);
-    assert!(w.started_ever("j-2"));
+    simulation.advance(200.0);
+    simulation.submit(&small);
+    simulation.advance(3.0);
+    assert_eq!(simulation.workers.len(), 1, "nothing is added for it");
+    assert_eq!(
+        simulation.running_count(),
+        8,
+        "it reserves no capacity, and starves no job"
+    );
+    simulation.finish("j-1/0");
+    simulation.finish("j-1/1");
+    simulation.advance(60.0);
+    assert!(simulation.has_started("j-2"));
 }
 
 #[test]
-fn what_needs_a_cancelled_job_is_cancelled_at_every_node_at_once_and_stays_so() {
-    let mut w = started(3, 2);
-    w.submit(&desc("j-1", 2));
-    w.submit(&needing("j-2", &["j-1"]));
-    w.submit(&needing("j-3", &["j-1"]));
-    let mut other_team = needing("j-4", &["j-2", "j-3"]);
+fn dependents_of_a_cancelled_job_are_cancelled_at_every_controller_at_once() {
+    let mut simulation = Simulation::started(3, 2);
+    simulation.submit(&desc("j-1", 2));
+    simulation.submit(&dependent("j-2", &["j-1"]));
+    simulation.submit(&dependent("j-3", &["j-1"]));
+    let mut other_team = dependent("j-4", &["j-2", "j-3"]);
     other_team.team = "blue".into();
-    w.submit(&other_team);
-    w.submit(&desc("j-5", 2));
-    w.pass(3.0);
-    // Not a single end of theirs is stored, and yet no node tells an older answer.
-    w.hold_job_txns = true;
-    cancel(&mut w, 1, "j-2");
+    simulation.submit(&other_team);
+    simulation.submit(&desc("j-5", 2));
+    simulation.advance(3.0);
+    // None of their ends is stored, and yet no controller gives an older answer.
+    simulation.network.holds_owner_transactions = true;
+    simulation.cancel_through(1, "j-2");
     for _ in 0..3 {
-        all_say_cancelled(&mut w, "j-2");
-        all_say_cancelled(&mut w, "j-4");
+        assert_cancelled_everywhere(&mut simulation, "j-2");
+        assert_cancelled_everywhere(&mut simulation, "j-4");
     }
     for id in ["j-1", "j-3", "j-5"] {
-        for found in told(&mut w, id) {
-            assert!(matches!(found, JobLookup::Live { .. }), "{id}: {found:?}");
+        for lookup in look_up_everywhere(&mut simulation, id) {
+            assert!(matches!(lookup, JobLookup::Live { .. }), "{id}: {lookup:?}");
         }
     }
-    assert_eq!(w.ended("j-4"), None);
-    let owner = w.owner();
-    w.crash(owner);
-    w.hold_job_txns = false;
-    w.pass(30.0);
-    w.start(owner);
-    w.pass(5.0);
+    assert_eq!(simulation.ended_state("j-4"), None);
+    let owner = simulation.crash_owner();
+    simulation.network.holds_owner_transactions = false;
+    simulation.advance(30.0);
+    simulation.start_controller(owner);
+    simulation.advance(5.0);
     assert_eq!(
-        w.ended("j-4"),
+        simulation.ended_state("j-4"),
         Some(JobState::Cancelled),
-        "by the next holder"
+        "by the next owner"
     );
-    all_say_cancelled(&mut w, "j-4");
-    // Naming a cancelled one, it is cancelled itself; so is what needs that.
-    w.submit(&needing("j-6", &["j-4", "j-5"]));
-    w.submit(&needing("j-7", &["j-6"]));
-    w.pass(0.5);
-    all_say_cancelled(&mut w, "j-6");
-    all_say_cancelled(&mut w, "j-7");
-    w.pass(3.0);
-    assert_eq!(w.ended("j-7"), Some(JobState::Cancelled));
-    assert!(!w.started_ever("j-6"));
+    assert_cancelled_everywhere(&mut simulation, "j-4");
+    // A job that depends on a cancelled one is cancelled, and so are its dependents.
+    simulation.submit(&dependent("j-6", &["j-4", "j-5"]));
+    simulation.submit(&dependent("j-7", &["j-6"]));
+    simulation.advance(0.5);
+    assert_cancelled_everywhere(&mut simulation, "j-6");
+    assert_cancelled_everywhere(&mut simulation, "j-7");
+    simulation.advance(3.0);
+    assert_eq!(simulation.ended_state("j-7"), Some(JobState::Cancelled));
+    assert!(!simulation.has_started("j-6"));
 }
 
 #[test]
-fn a_cancellation_that_came_too_late_lets_the_chain_go_on() {
-    let mut w = started(1, 1);
-    w.submit(&desc("j-1", 1));
-    w.submit(&needing("j-2", &["j-1"]));
-    w.pass(3.0);
-    w.finish_all();
-    w.pass(2.0);
-    assert_eq!(w.ended("j-1"), Some(JobState::Done));
-    // The word of a cancellation that the store does not confirm changes nothing.
+fn cancellation_that_the_store_does_not_confirm_cancels_no_dependent() {
+    let mut simulation = Simulation::started(1, 1);
+    simulation.submit(&desc("j-1", 1));
+    simulation.submit(&dependent("j-2", &["j-1"]));
+    simulation.advance(3.0);
+    simulation.finish_all();
+    simulation.advance(2.0);
+    assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
+    // A message of a cancellation that the store does not confirm changes nothing.
     let (job, revision) = ("j-1".into(), Revision(1));
-    w.nodes[0]
+    simulation.controllers[0]
         .core
         .as_mut()
         .expect("a core")
-        .hear(w.now, crate::mesh::Message::Cancelled { job, revision });
-    w.pass(2.0);
-    assert!(w.started_ever("j-2"));
-    w.finish_all();
-    w.pass(2.0);
-    assert_eq!(w.ended("j-2"), Some(JobState::Done));
+        .hear(simulation.now, Message::Cancelled { job, revision });
+    simulation.advance(2.0);
+    assert!(simulation.has_started("j-2"));
+    simulation.finish_all();
+    simulation.advance(2.0);
+    assert_eq!(simulation.ended_state("j-2"), Some(JobState::Done));
 }
 
 #[test]
-fn an_outage_just_after_a_cancellation_leaves_no_job_behind_it_uncancelled() {
-    let mut w = started(3, 2);
-    w.submit(&desc("j-1", 2));
-    w.submit(&needing("j-2", &["j-1"]));
-    w.submit(&needing("j-3", &["j-2"]));
-    w.pass(3.0);
-    cancel(&mut w, 0, "j-1");
-    w.store.down = true;
-    w.pass(w.cancel_s() + 10.0);
-    assert_eq!(w.ended("j-3"), None);
-    w.store.down = false;
-    w.pass(6.0);
-    all_say_cancelled(&mut w, "j-3");
-    w.pass(10.0);
-    assert_eq!(w.ended("j-2"), Some(JobState::Cancelled));
-    assert_eq!(w.ended("j-3"), Some(JobState::Cancelled));
+fn outage_after_a_cancellation_leaves_no_dependent_uncancelled() {
+    let mut simulation = Simulation::started(3, 2);
+    simulation.submit(&desc("j-1", 2));
+    simulation.submit(&dependent("j-2", &["j-1"]));
+    simulation.submit(&dependent("j-3", &["j-2"]));
+    simulation.advance(3.0);
+    simulation.cancel_through(0, "j-1");
+    simulation.store.is_down = true;
+    simulation.advance(simulation.cancel_timeout_s() + 10.0);
+    assert_eq!(simulation.ended_state("j-3"), None);
+    simulation.store.is_down = false;
+    simulation.advance(6.0);
+    assert_cancelled_everywhere(&mut simulation, "j-3");
+    simulation.advance(10.0);
+    assert_eq!(simulation.ended_state("j-2"), Some(JobState::Cancelled));
+    assert_eq!(simulation.ended_state("j-3"), Some(JobState::Cancelled));
 }
 
 #[test]
-fn jobs_before_an_urgent_one_go_before_others_of_their_own_rank() {
-    let mut w = started(1, 1);
+fn dependencies_of_an_urgent_job_go_first_within_their_priority() {
+    let mut simulation = Simulation::started(1, 1);
     // The team's limit is 16 cores; the machine has 16.
     let idle = |id: &str| {
         let mut job = desc(id, 8);
         (job.priority, job.deadline_s, job.cores) = (Priority::Idle, None, 2.0);
         job
     };
-    w.submit(&idle("j-1"));
-    w.pass(3.0);
-    assert_eq!(w.running("j-1/0").len(), 1);
-    w.submit(&idle("j-2"));
-    w.pass(30.0);
-    w.submit(&idle("j-3"));
-    let mut last = needing("j-4", &["j-3"]);
+    simulation.submit(&idle("j-1"));
+    simulation.advance(3.0);
+    assert_eq!(simulation.workers_running("j-1/0").len(), 1);
+    simulation.submit(&idle("j-2"));
+    simulation.advance(30.0);
+    simulation.submit(&idle("j-3"));
+    let mut last = dependent("j-4", &["j-3"]);
     (last.priority, last.deadline_s) = (Priority::High, Some(120.0));
-    w.submit(&last);
-    w.pass(1.0);
-    w.finish_all();
-    w.pass(2.0);
-    assert_eq!(w.running("j-3/0").len(), 1, "its chain is awaited");
-    assert!(!w.started_ever("j-2"), "though it has waited for longer");
+    simulation.submit(&last);
+    simulation.advance(1.0);
+    simulation.finish_all();
+    simulation.advance(2.0);
+    assert_eq!(
+        simulation.workers_running("j-3/0").len(),
+        1,
+        "an urgent job depends on it"
+    );
+    assert!(
+        !simulation.has_started("j-2"),
+        "though it has waited for longer"
+    );
 }
 
-/// Guards against a chain that never goes on: the record of an end that an earlier version
+/// Guards against a dependent that never starts: the record of an end that an earlier version
 /// wrote does not say when that was.
 #[test]
-fn an_end_recorded_by_an_earlier_version_counts() {
-    let mut w = started(1, 1);
-    w.submit(&desc("j-1", 1));
-    w.pass(2.0);
-    w.finish_all();
-    w.pass(2.0);
+fn end_recorded_by_an_earlier_version_satisfies_a_dependency() {
+    let mut simulation = Simulation::started(1, 1);
+    simulation.submit(&desc("j-1", 1));
+    simulation.advance(2.0);
+    simulation.finish_all();
+    simulation.advance(2.0);
     let key = keys::ended(&JobId::from("j-1"));
-    let mut value = w.store.keys[&key].1.clone();
+    let mut value = simulation.store.value(&key).clone();
     value.as_object_mut().expect("a record").remove("at");
-    w.store.commit(vec![crate::store::put(key, &value)]);
-    w.submit(&needing("j-2", &["j-1"]));
-    w.pass(3.0);
-    assert!(w.started_ever("j-2"));
+    simulation.store.commit(vec![store::put(key, &value)]);
+    simulation.submit(&dependent("j-2", &["j-1"]));
+    simulation.advance(3.0);
+    assert!(simulation.has_started("j-2"));
 }
 
-/// While a machine of the failover is silent, older jobs wait for it, since their tasks may
-/// run there. No earlier owner can have begun a job whose last dependency was done later.
+/// While a machine is silent after a failover, older jobs wait for it, since their tasks may run
+/// there. No earlier owner can have started a job whose last dependency was done later.
 #[test]
-fn what_gets_ready_after_a_failover_does_not_wait_for_its_silent_machines() {
+fn dependent_that_gets_ready_after_failover_does_not_wait_for_silent_machines() {
     // Silent machines count against the team's limit, too.
-    let mut w = World::with(2, 3, |v| {
-        v["settings"]["teams"][0]["cpus_max"] = 1_000.0.into();
-    });
-    w.pass(6.0);
-    w.submit(&desc("j-1", 1));
-    w.submit(&needing("j-2", &["j-1"]));
-    // Accepted before, and never begun for want of room.
+    let mut simulation = Simulation::builder(2, 3)
+        .settings(|settings| settings["settings"]["teams"][0]["cpus_max"] = 1_000.0.into())
+        .started();
+    simulation.submit(&desc("j-1", 1));
+    simulation.submit(&dependent("j-2", &["j-1"]));
+    // Accepted earlier, and some of it not started for lack of capacity.
     let mut older = desc("j-3", 4);
     older.cores = 14.0;
-    w.submit(&older);
-    w.pass(3.0);
-    let first = w.running("j-1/0")[0];
-    let silent = (0..3).find(|at| *at != first).expect("a machine");
-    w.workers[silent].hung = true;
-    let owner = w.owner();
-    w.crash(owner);
-    w.pass(21.0);
-    assert_ne!(w.owner(), owner);
-    // Room for the fourth task of the older one, beside the silent machine.
-    let older_here = |w: &World| w.workers[first].running("j-3/").count();
-    assert_eq!(older_here(&w), 1);
-    let ends = (0..4).find(|i| w.running(&format!("j-3/{i}")) == [first]);
-    w.finish(&format!("j-3/{}", ends.expect("a task")));
-    w.finish("j-1/0");
-    w.pass(2.0);
-    assert_eq!(w.ended("j-1"), Some(JobState::Done));
-    assert!(w.started_ever("j-2"));
-    assert_eq!(older_here(&w), 0, "it waits");
-    w.pass(40.0);
-    assert_eq!(older_here(&w), 1, "until nothing can run there any more");
+    simulation.submit(&older);
+    simulation.advance(3.0);
+    let first = simulation.workers_running("j-1/0")[0];
+    let silent = (0..3).find(|worker| *worker != first).expect("a machine");
+    simulation.workers[silent].is_paused = true;
+    let owner = simulation.crash_owner();
+    simulation.advance(21.0);
+    assert_ne!(simulation.owner(), owner);
+    // Capacity for the older job's next task, beside the silent machine.
+    let older_running =
+        |simulation: &Simulation| simulation.workers[first].running_tasks("j-3/").count();
+    assert_eq!(older_running(&simulation), 1);
+    let ending =
+        (0..4).find(|index| simulation.workers_running(&format!("j-3/{index}")) == [first]);
+    simulation.finish(&format!("j-3/{}", ending.expect("a task")));
+    simulation.finish("j-1/0");
+    simulation.advance(2.0);
+    assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
+    assert!(simulation.has_started("j-2"));
+    assert_eq!(older_running(&simulation), 0, "it waits");
+    simulation.advance(40.0);
+    assert_eq!(
+        older_running(&simulation),
+        1,
+        "until nothing can run there any more"
+    );
 }
--- /dev/null
+++ b/src/controller/tests/failing_jobs.rs
@@ -0,0 +1,105 @@
+//! Jobs submitted with a mistake, whose tasks all fail: they are retried with back-off, at
+//! nobody else's expense.
+
+use super::simulation::{ExitCause, Simulation, secs};
+use crate::jobs::JobState;
+use crate::jobs::tests::desc;
+
+#[test]
+fn failing_job_quarantines_no_machine() {
+    let mut simulation = Simulation::started(1, 2);
+    simulation.submit(&desc("j-1", 4));
+    for _ in 0..20 {
+        simulation.advance(1.0);
+        simulation.exit_all_of("", ExitCause::Error);
+    }
+    assert!(simulation.cloud.released.is_empty());
+    simulation.submit(&desc("j-2", 2));
+    simulation.advance(4.0);
+    assert_eq!(simulation.workers_running("j-2/0").len(), 1);
+}
+
+/// Guards against a team with the lowest heaviness only because its tasks fail at once and so
+/// hold no cores.
+#[test]
+fn retries_of_a_failing_job_count_as_usage_of_its_team() {
+    let mut simulation = Simulation::started(1, 4);
+    simulation.task_duration = Some(secs(4.0));
+    simulation.users.failing_jobs.insert("j-1".into());
+    simulation.submit(&desc("j-1", 8));
+    simulation.advance(25.0);
+    assert!(
+        simulation.cloud.released.is_empty(),
+        "no machine is quarantined"
+    );
+    // Both need a whole machine, and there is one.
+    for worker in &mut simulation.workers[1..] {
+        worker.is_isolated = true;
+    }
+    simulation.cloud.is_unreachable = true;
+    simulation.advance(8.0);
+    for (id, team) in [("j-2", "red"), ("j-3", "blue")] {
+        let mut whole = desc(id, 1);
+        whole.cores = 16.0;
+        whole.team = team.into();
+        simulation.submit(&whole);
+    }
+    let mut steps = 0;
+    while !simulation.has_started("j-2") && !simulation.has_started("j-3") {
+        simulation.advance(0.1);
+        steps += 1;
+        assert!(steps < 400, "one of them starts");
+    }
+    assert!(simulation.has_started("j-3"), "the other team comes first");
+    simulation.advance(30.0);
+    assert!(
+        simulation.has_started("j-2"),
+        "and its own healthy job after it"
+    );
+    simulation.cancel("j-1");
+    simulation.advance(10.0);
+    assert!(simulation.running_count_of("j-1/") == 0);
+}
+
+/// Guards against twice the price of the work: all tasks of a failing job were started after
+/// every back-off, so that idle machines were never idle for long enough to be released, and
+/// machines were added for tasks that waited for their back-off.
+#[test]
+fn always_failing_job_scales_nothing_out_and_idle_machines_are_released() {
+    let mut simulation = Simulation::new(1, 4);
+    simulation.idle_release_after = secs(20.0);
+    simulation.cloud.has_capacity = true;
+    simulation.start_controller(0);
+    simulation.task_duration = Some(secs(2.0));
+    simulation.advance(6.0);
+    simulation.users.failing_jobs.insert("j-1".into());
+    let mut array = desc("j-1", 32);
+    array.cores = 0.5;
+    simulation.submit(&array);
+    // A healthy job runs beside it, with one machine to itself.
+    let mut healthy = desc("j-2", 1_000);
+    (healthy.cores, healthy.team) = (8.0, "blue".into());
+    simulation.submit(&healthy);
+    simulation.advance(15.0);
+    let machine_count = simulation.workers.len();
+    let mut max_running = 0;
+    for _ in 0..1_200 {
+        simulation.advance(0.1);
+        max_running = max_running.max(simulation.running_count_of("j-1/"));
+    }
+    assert!(max_running <= 3, "{max_running} of its tasks at once");
+    assert_eq!(
+        simulation.workers.len(),
+        machine_count,
+        "nothing is added for it"
+    );
+    assert!(
+        simulation.cloud.released.len() >= 2,
+        "{:?} released",
+        simulation.cloud.released
+    );
+    // The mistake is corrected: after one success all of its tasks run.
+    simulation.users.failing_jobs.clear();
+    simulation.advance(60.0);
+    assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
+}
--- a/src/controller/tests/formats.rs
+++ b/src/controller/tests/formats.rs
@@ -1,19 +1,20 @@
-//! Two versions at a time on the same records and frames.
+//! Two versions of the controllers at a time on the same records and frames.
 //!
 //! `production.json` was written by the code of the commit that it names. This version
 //! must read all of it, and, as long as not every controller is known to run it, write
 //! nothing but what that one reads.
 
-use super::world::{World, secs};
-use super::*;
-use crate::cloud::ScaleOutRecord;
+use super::simulation::{Simulation, secs};
+use crate::cloud::{MachineType, ScaleOutRecord};
 use crate::ids::{JobId, Label, LeaseId, Revision, Term};
-use crate::jobs::{EndedRecord, JobRecord, ProgressRecord, page_tasks};
+use crate::jobs::tests::desc;
+use crate::jobs::{EndedRecord, JobRecord, JobState, ProgressRecord, page_tasks};
 use crate::mesh::{self, Message};
 use crate::partitions::{
-    FormatLevel, LeaderRecord, MemberRecord, PartitionOwnerRecord, ShardRecord, TermRecord,
+    FormatLevel, FormatRecord, LeaderRecord, MachineRecord, MemberRecord, PartitionOwnerRecord,
+    ShardRecord, TermRecord,
 };
-use crate::store::{self, KeyValue};
+use crate::store::{self, KeyValue, keys};
 use crate::watch_cache::WatchCache;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -26,15 +27,15 @@
 fn records(kind: &str) -> Vec<(String, Value)> {
     let all = production()["records"].as_array().expect("a list").clone();
     all.into_iter()
-        .filter(|r| r["kind"] == kind)
-        .map(|r| {
-            let key = r["key"].as_str().expect("a key").to_owned();
-            (key, r["value"].clone())
+        .filter(|record| record["kind"] == kind)
+        .map(|record| {
+            let key = record["key"].as_str().expect("a key").to_owned();
+            (key, record["value"].clone())
         })
         .collect()
 }
 
-/// Read as this version's record and written again, byte by byte as before.
+/// A record of a kind is read as this version's type and written again, byte by byte the same.
 fn round_trips<T: serde::Serialize + serde::de::DeserializeOwned>(kind: &str) {
     let all = records(kind);
     assert!(!all.is_empty(), "{kind}");
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn the_records_of_the_version_in_production_are_read_and_written_as_they_are() {
+fn production_records_round_trip_unchanged() {
     round_trips::<TermRecord>("term");
     round_trips::<LeaderRecord>("leader");
     round_trips::<Vec<MachineType>>("types");
@@ -62,20 +63,23 @@
         "rental", "sums",
     ];
     let all = production()["records"].as_array().expect("a list").clone();
-    let kinds: BTreeSet<&str> = all.iter().filter_map(|r| r["kind"].as_str()).collect();
+    let kinds: BTreeSet<&str> = all
+        .iter()
+        .filter_map(|record| record["kind"].as_str())
+        .collect();
     assert_eq!(kinds, BTreeSet::from(known), "each kind is checked");
 }
 
 #[test]
-fn the_keys_of_the_version_in_production_are_found_in_the_mirror() {
+fn production_keys_load_into_the_watch_cache() {
     let mut cache = WatchCache::default();
     let all = production()["records"].as_array().expect("a list").clone();
-    let rows = all.iter().map(|r| KeyValue {
-        key: r["key"].as_str().expect("a key").into(),
-        value: r["value"].clone(),
+    let entries = all.iter().map(|record| KeyValue {
+        key: record["key"].as_str().expect("a key").into(),
+        value: record["value"].clone(),
         revision: Revision(5),
     });
-    cache.load(rows.collect());
+    cache.load(entries.collect());
     let id = JobId::from("j-000412");
     assert_eq!(cache.term.1.last, Term(41));
     assert!(cache.leader.is_some() && cache.types.is_some());
@@ -83,15 +87,15 @@
     assert_eq!(cache.members[&Label::from("c0")].1.format, FormatLevel(0));
     assert_eq!(cache.all_machines().count(), 2);
     assert_eq!(cache.jobs[&id].1.desc.dependencies, Vec::<JobId>::new());
-    let pages: Vec<u32> = cache.progress(&id).map(|(n, ..)| n).collect();
+    let pages: Vec<u32> = cache.progress(&id).map(|(page, ..)| page).collect();
     assert_eq!(pages, vec![2]);
     assert_eq!(cache.scale_outs.len() + cache.team_usage.len(), 2);
 }
 
-/// The length of a page of progress is not stored: with another one, pages that the other
-/// version wrote would be overwritten by less than they say.
+/// The length of a page of progress is not stored: with another one, pages of the other version
+/// would be overwritten by shorter ones.
 #[test]
-fn pages_of_progress_are_cut_as_by_the_version_in_production() {
+fn progress_pages_have_the_length_of_production() {
     for page in production()["page_tasks"].as_array().expect("a list") {
         let value_kb = page["value_kb"].as_f64().expect("a size");
         assert_eq!(json!(page_tasks(value_kb)), page["tasks"], "{value_kb} KiB");
@@ -99,19 +103,19 @@
 }
 
 #[test]
-fn frames_of_the_version_in_production_are_read_and_written_as_they_are() {
+fn production_mesh_frames_round_trip_unchanged() {
     let frames = production()["frames"].as_array().expect("a list").clone();
-    let mut seen = Vec::new();
+    let mut decoded = Vec::new();
     for frame in frames {
         let hex = frame["hex"].as_str().expect("bytes").to_owned();
-        let byte = |i: usize| u8::from_str_radix(&hex[i..i + 2], 16).expect("a byte");
+        let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("a byte");
         let bytes: Vec<u8> = (0..hex.len()).step_by(2).map(byte).collect();
         let message = mesh::decode(&bytes).expect("a message");
         assert_eq!(mesh::encode(&message).expect("a frame"), bytes);
-        seen.push(match message {
+        decoded.push(match message {
             Message::PeerState(state) => {
-                let need = &state.partitions[0].capacity_requests[0];
-                assert_eq!((need.count, need.estimated_run_time_s), (7, 9.5));
+                let request = &state.partitions[0].capacity_requests[0];
+                assert_eq!((request.count, request.estimated_run_time_s), (7, 9.5));
                 "peer state"
             }
             Message::Cancelled { job, revision } => {
@@ -121,66 +125,64 @@
             Message::ZoneEvidence(_) => panic!("production knows no such frame"),
         });
     }
-    assert_eq!(seen, ["peer state", "cancelled"]);
+    assert_eq!(decoded, ["peer state", "cancelled"]);
 }
 
-/// What the store holds, each record as the version in production would write it again.
-fn shapes(w: &World) -> Vec<(String, BTreeSet<String>)> {
+/// The field names of each stored record.
+fn record_fields(simulation: &Simulation) -> Vec<(String, BTreeSet<String>)> {
     let fields = |value: &Value| match value {
         Value::Object(fields) => fields.keys().cloned().collect(),
         _ => BTreeSet::new(),
     };
-    let kept = w.store.keys.iter().filter(|(k, _)| {
-        !k.contains("/machines/") && !k.starts_with("r/sums/") && *k != keys::TYPES
+    let kept = simulation.store.keys.iter().filter(|(key, _)| {
+        !key.contains("/machines/") && !key.starts_with("r/sums/") && *key != keys::TYPES
     });
-    kept.map(|(k, (_, value, _))| (k.clone(), fields(value)))
+    kept.map(|(key, stored)| (key.clone(), fields(&stored.value)))
         .collect()
 }
 
-/// A controller of the earlier version: its member record says nothing of formats.
-fn join_as_earlier_version(w: &mut World, label: &str) {
-    w.store.next_lease += 1;
-    let lease = w.store.next_lease;
-    w.store.leases.insert(lease, (secs(1e6), secs(1e6)));
+/// A controller of the earlier version joins: its member record has no format level.
+fn join_as_earlier_version(simulation: &mut Simulation, label: &str) {
+    let lease = simulation.store.grant_lease(simulation.now, secs(1e6));
     let record = json!({"addr": "127.0.0.1:9003", "tenure": lease});
     let label = Label::from(label);
-    let op = store::put_with_lease(keys::member(&label), &record, LeaseId(lease));
-    w.store.commit(vec![op]);
+    let mutation = store::put_with_lease(keys::member(&label), &record, lease);
+    simulation.store.commit(vec![mutation]);
 }
 
 #[test]
-fn until_every_controller_is_new_nothing_new_is_written_but_optional_fields() {
-    let mut w = World::new(2, 2);
-    w.crash(1);
-    w.pass(15.0);
-    join_as_earlier_version(&mut w, "c1");
-    w.pass(5.0);
-    w.submit(&desc("j-1", 2));
-    w.pass(3.0);
-    w.finish_all();
-    w.pass(3.0);
-    w.submit(&desc("j-2", 2));
-    w.pass(8.0);
-    assert_eq!(w.ended("j-1"), Some(JobState::Done));
-    assert!(!w.store.keys.contains_key(keys::FORMAT));
-    assert_eq!(w.nodes[0].view.format, FormatLevel(0));
-    // By kind: the fields that production writes, and what this version may add.
+fn with_an_earlier_version_present_only_optional_fields_are_added() {
+    let mut simulation = Simulation::new(2, 2);
+    simulation.crash_controller(1);
+    simulation.advance(15.0);
+    join_as_earlier_version(&mut simulation, "c1");
+    simulation.advance(5.0);
+    simulation.submit(&desc("j-1", 2));
+    simulation.advance(3.0);
+    simulation.finish_all();
+    simulation.advance(3.0);
+    simulation.submit(&desc("j-2", 2));
+    simulation.advance(8.0);
+    assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
+    assert!(!simulation.store.keys.contains_key(keys::FORMAT));
+    assert_eq!(simulation.controllers[0].view.format, FormatLevel(0));
+    // By kind of record: fields that this version may add to those that production writes.
     let optional: &[(&str, &[&str])] = &[("r/members/", &["format"]), ("ended/", &["at"])];
     let all = production()["records"].as_array().expect("a list").clone();
-    for (key, fields) in shapes(&w) {
-        let kind = |k: &str| {
-            let parts: Vec<&str> = k.split('/').collect();
+    for (key, fields) in record_fields(&simulation) {
+        let kind = |key: &str| {
+            let parts: Vec<&str> = key.split('/').collect();
             match parts.as_slice() {
                 ["r", "blocks", _, what] => format!("r/blocks/{what}"),
                 ["r", kind, ..] => format!("r/{kind}"),
                 _ => parts[0].to_owned(),
             }
         };
-        let like = all
+        let same_kind = all
             .iter()
-            .filter(|r| r["key"].as_str().map(kind) == Some(kind(&key)));
-        let mut allowed: BTreeSet<String> = like
-            .filter_map(|r| r["value"].as_object())
+            .filter(|record| record["key"].as_str().map(kind) == Some(kind(&key)));
+        let mut allowed: BTreeSet<String> = same_kind
+            .filter_map(|record| record["value"].as_object())
             .flat_map(|fields| fields.keys().cloned())
             .collect();
         assert!(
@@ -190,79 +192,93 @@
         let added = optional
             .iter()
             .filter(|(prefix, _)| key.starts_with(prefix));
-        allowed.extend(added.flat_map(|(_, names)| names.iter().map(|n| n.to_string())));
+        allowed.extend(added.flat_map(|(_, names)| names.iter().map(|name| name.to_string())));
         assert!(fields.is_subset(&allowed), "{key}: {fields:?}");
     }
 }
 
 #[test]
-fn the_format_level_is_raised_once_every_controller_was_seen_and_never_falls() {
-    let mut w = World::new(3, 1);
-    w.crash(2);
-    join_as_earlier_version(&mut w, "c2");
-    w.pass(20.0);
-    assert!(!w.store.keys.contains_key(keys::FORMAT), "one is old");
-    // It ends, and comes back with the new version.
-    w.start(2);
-    w.pass(10.0);
-    assert_eq!(w.store.keys[keys::FORMAT].1, json!({"level": 1}));
-    let raised = w.store.keys[keys::FORMAT].0;
-    assert!(w.nodes.iter().all(|n| n.view.format == FormatLevel::NEWEST));
-    // All begin again, and one never comes back.
-    (0..3).for_each(|i| w.crash(i));
-    (0..2).for_each(|i| w.start(i));
-    w.pass(30.0);
-    assert_eq!(w.store.keys[keys::FORMAT].0, raised, "written once");
-    assert_eq!(w.nodes[0].view.format, FormatLevel::NEWEST);
+fn format_level_rises_once_every_controller_is_new_and_never_falls() {
+    let mut simulation = Simulation::new(3, 1);
+    simulation.crash_controller(2);
+    join_as_earlier_version(&mut simulation, "c2");
+    simulation.advance(20.0);
+    assert!(
+        !simulation.store.keys.contains_key(keys::FORMAT),
+        "one is of the earlier version"
+    );
+    // It ends, and joins with the new version.
+    simulation.start_controller(2);
+    simulation.advance(10.0);
+    assert_eq!(*simulation.store.value(keys::FORMAT), json!({"level": 1}));
+    let raised = simulation.store.keys[keys::FORMAT].revision;
+    assert!(
+        simulation
+            .controllers
+            .iter()
+            .all(|controller| controller.view.format == FormatLevel::NEWEST)
+    );
+    // All end, and one never starts again.
+    simulation.crash_all_controllers();
+    (0..2).for_each(|controller| simulation.start_controller(controller));
+    simulation.advance(30.0);
+    assert_eq!(
+        simulation.store.keys[keys::FORMAT].revision,
+        raised,
+        "written once"
+    );
+    assert_eq!(simulation.controllers[0].view.format, FormatLevel::NEWEST);
 }
 
 #[test]
-fn a_controller_that_is_never_seen_keeps_the_format_level_down() {
-    let mut w = World::new(3, 1);
-    w.crash(2);
-    w.pass(60.0);
-    assert!(!w.store.keys.contains_key(keys::FORMAT));
-    w.start(2);
-    w.pass(5.0);
-    w.crash(2);
-    w.pass(30.0);
-    assert!(w.store.keys.contains_key(keys::FORMAT), "seen is enough");
+fn controller_that_never_joined_keeps_the_format_level_down() {
+    let mut simulation = Simulation::new(3, 1);
+    simulation.crash_controller(2);
+    simulation.advance(60.0);
+    assert!(!simulation.store.keys.contains_key(keys::FORMAT));
+    simulation.start_controller(2);
+    simulation.advance(5.0);
+    simulation.crash_controller(2);
+    simulation.advance(30.0);
+    assert!(
+        simulation.store.keys.contains_key(keys::FORMAT),
+        "having joined once is enough"
+    );
 }
 
-/// What the version in production does not write, or only the fixtures lack.
+/// Also the forms that the version in production does not write, or the fixtures lack.
 #[test]
-fn records_keep_their_form_with_and_without_each_optional_field() {
-    fn keeps<T: serde::Serialize + serde::de::DeserializeOwned>(text: &str) {
+fn records_round_trip_with_and_without_optional_fields() {
+    fn round_trips_text<T: serde::Serialize + serde::de::DeserializeOwned>(text: &str) {
         let read: T = serde_json::from_str(text).expect(text);
-        // As they are sent: through a value, whose fields are sorted.
+        // As they are sent: through a JSON value, whose fields are sorted.
         let written = serde_json::to_value(read).expect(text).to_string();
         assert_eq!(written, text);
     }
-    use crate::partitions::{FormatRecord, MachineRecord};
-    keeps::<FormatRecord>(r#"{"level":1}"#);
-    keeps::<MemberRecord>(r#"{"addr":"127.0.0.1:9001","format":1,"tenure":7}"#);
-    keeps::<MemberRecord>(r#"{"addr":"127.0.0.1:9001","tenure":7}"#);
-    keeps::<MachineRecord>(
+    round_trips_text::<FormatRecord>(r#"{"level":1}"#);
+    round_trips_text::<MemberRecord>(r#"{"addr":"127.0.0.1:9001","format":1,"tenure":7}"#);
+    round_trips_text::<MemberRecord>(r#"{"addr":"127.0.0.1:9001","tenure":7}"#);
+    round_trips_text::<MachineRecord>(
         r#"{"a":"10.1.0.7:9000","b":"big","f":"move","s":true,"t":12,"u":true,"z":"x"}"#,
     );
-    keeps::<MachineRecord>(r#"{"b":"big","f":"return","s":false,"t":0,"z":"x"}"#);
-    keeps::<MachineRecord>(r#"{"a":"10.1.0.7:9000","b":"big","s":false,"t":0,"z":"x"}"#);
-    keeps::<MachineRecord>(r#"{"b":"big","s":false,"t":0,"u":true,"z":"x"}"#);
+    round_trips_text::<MachineRecord>(r#"{"b":"big","f":"return","s":false,"t":0,"z":"x"}"#);
+    round_trips_text::<MachineRecord>(r#"{"a":"10.1.0.7:9000","b":"big","s":false,"t":0,"z":"x"}"#);
+    round_trips_text::<MachineRecord>(r#"{"b":"big","s":false,"t":0,"u":true,"z":"x"}"#);
     let footprint = r#""footprint":{"request":{"cards":1.0,"cores":2.0,"mem":4.0},"team":"red"}"#;
-    keeps::<EndedRecord>(&format!(
+    round_trips_text::<EndedRecord>(&format!(
         r#"{{"at":1700000000000000,{footprint},"standing":"cancelled","tasks":4}}"#
     ));
-    keeps::<EndedRecord>(r#"{"at":1700000000000000,"standing":"done","tasks":4}"#);
+    round_trips_text::<EndedRecord>(r#"{"at":1700000000000000,"standing":"done","tasks":4}"#);
     for standing in ["pending", "running", "done", "cancelled"] {
-        keeps::<EndedRecord>(&format!(r#"{{"standing":"{standing}","tasks":4}}"#));
+        round_trips_text::<EndedRecord>(&format!(r#"{{"standing":"{standing}","tasks":4}}"#));
     }
-    keeps::<ProgressRecord>(r#"{"done":[],"owner":null,"running":0}"#);
+    round_trips_text::<ProgressRecord>(r#"{"done":[],"owner":null,"running":0}"#);
     for (form, rank) in [
         ("sweep", "idle"),
         ("service", "standard"),
         ("sweep", "production"),
     ] {
-        keeps::<JobRecord>(&format!(
+        round_trips_text::<JobRecord>(&format!(
             r#"{{"at":1700000000000000,"born":9,"desc":{{"apart":true,"builds":["big","small"],"cards":1.0,"cores":2.0,"crew":"red","deck":"img-07","dueS":null,"form":"{form}","hands":4,"hinges":["j-2","j-1"],"id":"j-000412","loaners":false,"lot":"train","markS":5.0,"memGb":4.0,"oneZone":true,"rank":"{rank}","reckonS":10.0,"sizeGb":1.0,"stowS":2.0,"yard":"x"}}}}"#
         ));
     }
--- /dev/null
+++ b/src/controller/tests/partition_ownership.rs
@@ -0,0 +1,178 @@
+//! Ownership of partitions: release, grants to members, and which partition records a machine.
+
+use super::simulation::{HeldTransaction, Simulation};
+use crate::api::ports::HeartbeatAnswer;
+use crate::ids::MachineId;
+use crate::jobs::tests::desc;
+use crate::partitions::ShardRecord;
+use std::collections::BTreeMap;
+
+/// The owner's record of the first partition.
+const OWNER_KEY: &str = "r/blocks/0/holder";
+
+#[test]
+fn owner_without_machines_and_peers_releases_its_partition() {
+    let mut simulation = Simulation::started(3, 3);
+    let previous_owner = simulation.owner();
+    // The others reach the workers, but nobody reaches a peer.
+    for controller in &mut simulation.controllers {
+        controller.faults.is_cut_from_peers = true;
+    }
+    simulation.controllers[previous_owner]
+        .faults
+        .is_cut_from_workers = true;
+    simulation.advance(25.0);
+    assert_ne!(
+        simulation.owner(),
+        previous_owner,
+        "it is not granted to the same controller again"
+    );
+    simulation.submit(&desc("j-1", 4));
+    simulation.advance(12.0);
+    assert_eq!(simulation.running_count(), 4);
+}
+
+/// So many controllers and machines, with quotas that make two partitions.
+fn two_partitions(controllers: usize, machines: usize) -> Simulation {
+    let mut simulation = Simulation::builder(controllers, machines)
+        .team_quotas(4_000.0, 4_000.0)
+        .build();
+    simulation.advance(8.0);
+    simulation
+}
+
+#[test]
+fn after_a_restart_of_all_the_first_member_does_not_get_every_partition() {
+    let mut simulation = two_partitions(3, 4);
+    let owners = |simulation: &Simulation| {
+        [0, 1].map(|partition| {
+            let key = format!("r/blocks/{partition}/holder");
+            simulation.store.value(&key)["holder"].clone()
+        })
+    };
+    let [first, second] = owners(&simulation);
+    assert_ne!(first, second);
+    simulation.crash_all_controllers();
+    simulation.advance(25.0);
+    // The first is back a little before the others.
+    simulation.start_controller(0);
+    simulation.advance(1.7);
+    simulation.start_controller(1);
+    simulation.start_controller(2);
+    simulation.advance(3.0);
+    let [first, second] = owners(&simulation);
+    assert_ne!(first, second);
+}
+
+/// The release gets no answer, and then the watch fails: the next owner counts silent workers'
+/// leases from its own grant.
+#[test]
+fn owner_that_released_its_partition_answers_no_heartbeat() {
+    let mut simulation = Simulation::started(3, 2);
+    simulation.submit(&desc("j-1", 8));
+    simulation.advance(3.0);
+    let previous_owner = simulation.owner();
+    simulation.controllers[previous_owner]
+        .faults
+        .is_cut_from_workers = true;
+    simulation.controllers[previous_owner]
+        .faults
+        .loses_write_answers = true;
+    // It receives no heartbeat, so it releases the partition; the write is committed.
+    let owner = |simulation: &Simulation| simulation.store.value(OWNER_KEY)["holder"].clone();
+    let recorded_owner = owner(&simulation);
+    for _ in 0..300 {
+        simulation.advance(0.1);
+        if simulation.store.value(OWNER_KEY)["incarnation"] == 0
+            || owner(&simulation) != recorded_owner
+        {
+            break;
+        }
+    }
+    simulation.controllers[previous_owner]
+        .faults
+        .is_cut_from_store = true;
+    simulation.controllers[previous_owner]
+        .faults
+        .is_cut_from_workers = false;
+    let answer = simulation.deliver_heartbeat_of(0, previous_owner);
+    assert!(
+        !matches!(answer, Some(HeartbeatAnswer::Accepted(_))),
+        "{answer:?}"
+    );
+    simulation.advance(60.0);
+    assert_ne!(simulation.owner(), previous_owner);
+    assert_eq!(simulation.running_count(), 8);
+}
+
+#[test]
+fn rejected_release_of_a_partition_changes_nothing() {
+    let mut simulation = Simulation::started(3, 2);
+    simulation.submit(&desc("j-1", 4));
+    simulation.advance(3.0);
+    let owner = simulation.owner();
+    simulation.controllers[owner].faults.is_cut_from_workers = true;
+    simulation.advance(5.0);
+    simulation.controllers[owner].faults.is_rejected_by_store = true;
+    simulation.advance(6.0);
+    simulation.controllers[owner].faults.is_cut_from_workers = false;
+    simulation.advance(2.0);
+    let answer = simulation.deliver_heartbeat_of(0, owner);
+    assert!(
+        matches!(answer, Some(HeartbeatAnswer::Accepted(_))),
+        "{answer:?}"
+    );
+}
+
+/// The keys of the shards that record each machine.
+fn shards_by_machine(simulation: &Simulation) -> BTreeMap<MachineId, Vec<String>> {
+    let mut shards: BTreeMap<MachineId, Vec<String>> = BTreeMap::new();
+    for (key, value) in simulation.store.machine_shards() {
+        let record: ShardRecord = serde_json::from_value(value.clone()).expect("a shard");
+        for id in record.0.keys() {
+            shards.entry(id.clone()).or_default().push(key.clone());
+        }
+    }
+    shards
+}
+
+/// The leader's write that adds machines to a partition is delayed, so that it adds them to
+/// another one, and then the first write is committed.
+#[test]
+fn delayed_machine_records_put_no_machine_into_two_partitions() {
+    let mut simulation = two_partitions(2, 2);
+    let leader = simulation.leader().expect("a leader");
+    // New machines come up while the leader's writes get no answer.
+    simulation.controllers[leader].faults.has_delayed_writes = true;
+    simulation.add_machines(4);
+    let adds_machine =
+        |held: &&HeldTransaction| format!("{:?}", held.mutations).contains("m-000002");
+    let delayed = |simulation: &Simulation| {
+        let held = &simulation.network.held_transactions;
+        held.iter().find(adds_machine).cloned()
+    };
+    let mut steps = 0;
+    while delayed(&simulation).is_none() {
+        simulation.advance(0.1);
+        steps += 1;
+        assert!(steps < 100, "the write is sent");
+    }
+    let delayed = delayed(&simulation).expect("the write");
+    // A job of the other partition's team lacks capacity, so all new machines go there.
+    let is_of_first = format!("{delayed:?}").contains("r/blocks/0/machines");
+    let mut job = desc("j-1", 40);
+    job.team = ["red", "blue"][usize::from(is_of_first)].into();
+    simulation.submit_to(&job, u64::from(is_of_first));
+    simulation.advance(3.0);
+    simulation.controllers[leader].faults.has_delayed_writes = false;
+    let mut steps = 0;
+    while !shards_by_machine(&simulation).contains_key(&MachineId::from("m-000002")) {
+        simulation.advance(0.1);
+        steps += 1;
+        assert!(steps < 100, "recorded without it");
+    }
+    simulation.deliver_transactions(vec![delayed]);
+    for (id, shards) in shards_by_machine(&simulation) {
+        assert_eq!(shards.len(), 1, "{id} is in {shards:?}");
+    }
+}
--- /dev/null
+++ b/src/controller/tests/quotas.rs
@@ -0,0 +1,180 @@
+//! Quotas and placement constraints: no team exceeds its limit, also with what silent machines
+//! may still run, and unused capacity is lent.
+
+use super::simulation::{Simulation, secs};
+use crate::jobs::JobState;
+use crate::jobs::tests::{desc, types};
+
+#[test]
+fn silent_machine_counts_against_the_team_limit() {
+    let mut simulation = Simulation::started(2, 3);
+    // 16 cores are the limit; 8 tasks of 2 cores use it up.
+    simulation.submit(&desc("j-1", 8));
+    simulation.advance(3.0);
+    assert_eq!(simulation.running_count(), 8);
+    for worker in simulation.workers_running("j-1/0") {
+        simulation.workers[worker].is_isolated = true;
+    }
+    simulation.cloud.is_unreachable = true;
+    simulation.crash_owner();
+    simulation.advance(25.0);
+    simulation.submit(&desc("j-2", 8));
+    simulation.advance(3.0);
+    assert!(
+        simulation.running_count() <= 8,
+        "{} tasks of 2 cores for 16 cores",
+        simulation.running_count()
+    );
+}
+
+#[test]
+fn anti_affinity_and_team_limits_hold_for_every_task() {
+    let mut simulation = Simulation::started(1, 3);
+    let mut single_zone = desc("j-1", 100);
+    single_zone.single_zone = true;
+    simulation.submit(&single_zone);
+    let mut anti_affinity = desc("j-2", 5);
+    anti_affinity.anti_affinity = true;
+    anti_affinity.team = "blue".into();
+    simulation.submit(&anti_affinity);
+    simulation.advance(4.0);
+    let task_count = |prefix: &str| {
+        simulation
+            .workers
+            .iter()
+            .map(|worker| {
+                let tasks = worker.tasks.keys();
+                tasks.filter(|task| task.starts_with(prefix)).count()
+            })
+            .sum::<usize>()
+    };
+    assert_eq!(task_count("j-1/"), 8, "16 cores for tasks of 2");
+    // All machines are in one zone: at most half of five, rounded up.
+    assert_eq!(task_count("j-2/"), 3);
+}
+
+/// Nothing is guaranteed to guests, so they come last, and a limit of 0 means none.
+#[test]
+fn guest_team_without_quotas_is_served_with_unused_capacity() {
+    let mut simulation = Simulation::builder(1, 3).guest_team().build();
+    simulation.task_duration = Some(secs(4.0));
+    simulation.advance(6.0);
+    let mut array = desc("j-1", 400);
+    array.team = "guests".into();
+    array.cores = 0.25;
+    array.memory_gb = 0.5;
+    let settings = &simulation.controllers[0].settings;
+    assert_eq!(array.admissible(settings, &types()), Ok(()));
+    simulation.submit(&array);
+    simulation.advance(2.0);
+    assert_eq!(
+        simulation.running_count(),
+        192,
+        "all capacity: four on each core"
+    );
+    // Never at the cost of a guarantee: freed capacity goes to the team that is below it.
+    simulation.submit(&desc("j-2", 4));
+    simulation.advance(6.0);
+    assert_eq!(
+        simulation.workers_running("j-2/0").len()
+            + usize::from(simulation.ended_state("j-2").is_some()),
+        1
+    );
+    simulation.advance(20.0);
+    assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
+}
+
+/// A cancelled job has no record any more, but its tasks run until their worker receives the
+/// command: they count against their team's limit, and no other's.
+#[test]
+fn tasks_of_a_cancelled_job_count_against_its_team_limit_after_failover() {
+    let mut simulation = Simulation::started(2, 3);
+    simulation.submit(&desc("j-1", 8));
+    simulation.advance(3.0);
+    let worker = simulation.workers_running("j-1/0")[0];
+    assert_eq!(simulation.running_count(), 8, "all that the team may use");
+    simulation.cloud.is_unreachable = true;
+    simulation.crash_owner();
+    simulation.cancel("j-1");
+    // It receives the new fencing token, and nothing after that.
+    let first_token = simulation.workers[worker].fencing_token;
+    while simulation.workers[worker].fencing_token == first_token {
+        simulation.advance(0.1);
+    }
+    simulation.workers[worker].is_unreachable = true;
+    simulation.submit(&desc("j-2", 8));
+    let mut blue = desc("j-3", 8);
+    blue.team = "blue".into();
+    simulation.submit(&blue);
+    simulation.advance(12.0);
+    assert!(
+        simulation.workers[worker].running_tasks("j-1/").count() > 0,
+        "they keep running"
+    );
+    assert_eq!(
+        simulation.workers_running("j-3/0").len(),
+        1,
+        "another team's limit is not touched"
+    );
+    let lease_s = simulation.worker_lease_s();
+    simulation.advance(lease_s);
+    assert_eq!(
+        simulation.workers_running("j-2/7").len(),
+        1,
+        "once its lease has expired"
+    );
+}
+
+/// Its record is of an earlier version and names no team: it may be any team's.
+#[test]
+fn cancelled_job_without_footprint_counts_as_the_worst_case() {
+    let mut simulation = Simulation::started(2, 3);
+    simulation.submit(&desc("j-1", 8));
+    simulation.advance(3.0);
+    let worker = simulation.workers_running("j-1/0")[0];
+    simulation.cloud.is_unreachable = true;
+    simulation.crash_owner();
+    simulation.cancel("j-1");
+    let ended = simulation
+        .store
+        .keys
+        .get_mut("ended/j-1")
+        .expect("a record");
+    ended
+        .value
+        .as_object_mut()
+        .expect("an object")
+        .remove("footprint");
+    let first_token = simulation.workers[worker].fencing_token;
+    while simulation.workers[worker].fencing_token == first_token {
+        simulation.advance(0.1);
+    }
+    simulation.workers[worker].is_unreachable = true;
+    simulation.submit(&desc("j-2", 8));
+    simulation.advance(12.0);
+    assert!(simulation.workers[worker].running_tasks("j-1/").count() > 0);
+    let lease_s = simulation.worker_lease_s();
+    simulation.advance(lease_s);
+    assert_eq!(simulation.workers_running("j-2/7").len(), 1);
+}
+
+#[test]
+fn team_limit_holds_in_a_failover_with_a_cancellation() {
+    let mut simulation = Simulation::started(2, 4);
+    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&desc("j-2", 4));
+    simulation.advance(3.0);
+    assert_eq!(simulation.running_count(), 8, "16 cores are the limit");
+    simulation.cloud.is_unreachable = true;
+    for worker in simulation.workers_running("j-1/0") {
+        simulation.workers[worker].is_isolated = true;
+    }
+    simulation.crash_owner();
+    simulation.advance(21.0);
+    simulation.cancel("j-1");
+    simulation.submit(&desc("j-3", 8));
+    simulation.advance(50.0);
+    simulation.set_workers_isolated(false);
+    simulation.advance(12.0);
+    assert!(simulation.has_started("j-3"), "the limit is free again");
+}
--- /dev/null
+++ b/src/controller/tests/simulation/invariants.rs
@@ -0,0 +1,162 @@
+//! The invariants that hold at every moment of a simulation. Each check panics with what
+//! broke it.
+
+use super::worker::{Launch, SimulatedWorker};
+use super::{Simulation, ZONES, secs};
+use crate::ids::{JobId, MachineId, TaskId};
+use crate::jobs::{JobDesc, JobState};
+use std::collections::BTreeMap;
+use std::collections::btree_map::Entry;
+
+/// Cores by which sums of cores may differ for rounding.
+const CORES_TOLERANCE: f64 = 1e-6;
+
+/// Where an attempt was launched first.
+#[derive(Debug, PartialEq)]
+struct AttemptPlacement {
+    task: String,
+    machine: MachineId,
+}
+
+/// What the invariants remember of the past.
+#[derive(Default)]
+pub struct Invariants {
+    placements: BTreeMap<u64, AttemptPlacement>,
+}
+
+impl Invariants {
+    /// An attempt's number is for one task on one machine.
+    fn check_attempt(&mut self, launch: &Launch, worker: &SimulatedWorker) {
+        let placement = AttemptPlacement {
+            task: launch.task.clone(),
+            machine: worker.id.clone(),
+        };
+        match self.placements.entry(launch.attempt) {
+            Entry::Vacant(vacant) => {
+                vacant.insert(placement);
+            }
+            Entry::Occupied(first) => assert_eq!(
+                *first.get(),
+                placement,
+                "attempt {} is given twice",
+                launch.attempt
+            ),
+        }
+    }
+}
+
+impl Simulation {
+    /// Checks all invariants.
+    pub fn check_invariants(&mut self) {
+        self.check_launches();
+        self.check_running_tasks();
+    }
+
+    /// What was launched since the last check: an attempt's number never repeats, and its
+    /// task may be where it is.
+    fn check_launches(&mut self) {
+        for index in 0..self.workers.len() {
+            for launch in std::mem::take(&mut self.workers[index].launches) {
+                let worker = &self.workers[index];
+                self.invariants.check_attempt(&launch, worker);
+                let task = TaskId::parse(&launch.task).expect("a task");
+                if let Some(job) = self.users.submitted.get(&task.job) {
+                    self.check_placement(&task, job, worker);
+                }
+            }
+        }
+    }
+
+    fn check_placement(&self, task: &TaskId, job: &JobDesc, worker: &SimulatedWorker) {
+        assert!(
+            job.allows(worker.machine_type, worker.zone, false),
+            "{task} on {} in {}",
+            worker.machine_type,
+            worker.zone
+        );
+        for dependency in &job.dependencies {
+            let state = self.ended_state(dependency.as_str());
+            assert_eq!(
+                state,
+                Some(JobState::Done),
+                "{task} starts before {dependency}"
+            );
+        }
+        let prefix = format!("{}/", task.job);
+        let running_in_zone = |zone: &str| -> usize {
+            self.live_workers()
+                .filter(|other| other.zone == zone)
+                .map(|other| other.running_tasks(&prefix).count())
+                .sum()
+        };
+        if job.single_zone {
+            let elsewhere: usize = ZONES
+                .into_iter()
+                .filter(|zone| *zone != worker.zone)
+                .map(running_in_zone)
+                .sum();
+            assert_eq!(elsewhere, 0, "{task} in {}: not in one zone", worker.zone);
+        }
+        if job.anti_affinity {
+            let max_in_zone = job.tasks.div_ceil(2) as usize;
+            assert!(
+                running_in_zone(worker.zone) <= max_in_zone,
+                "{task} in {}: not spread",
+                worker.zone
+            );
+        }
+    }
+
+    /// No task runs on two machines, no team exceeds its limit, cancelled tasks included,
+    /// and those end in time.
+    fn check_running_tasks(&self) {
+        let platform = &self.controllers[0].settings.platform;
+        let mut machine_of: BTreeMap<&str, &MachineId> = BTreeMap::new();
+        let mut used_cores: BTreeMap<&str, f64> = BTreeMap::new();
+        // A paused worker may continue at any moment within its lease, and runs nothing
+        // after it: the lease expires before anything else when it continues.
+        let lease = secs(platform.workers.lease_s);
+        let may_run = |worker: &&SimulatedWorker| {
+            !worker.is_paused || self.now.since(worker.last_answer_at) <= lease
+        };
+        for worker in self.live_workers().filter(may_run) {
+            for task in worker.running_tasks("") {
+                let other = machine_of.insert(task, &worker.id);
+                assert!(
+                    other.is_none(),
+                    "{task} runs on {} and {other:?}",
+                    worker.id
+                );
+                let job = task.split('/').next().expect("a job").into();
+                if let Some(submitted) = self.users.submitted.get(&job) {
+                    *used_cores.entry(&submitted.team).or_default() += submitted.cores;
+                }
+                // A paused worker runs nothing until it continues.
+                if !worker.is_paused {
+                    self.check_cancellation(task, &job, worker);
+                }
+            }
+        }
+        for (team, cores) in used_cores {
+            let team = platform.teams.iter().find(|known| known.name == team);
+            let team = team.expect("a team");
+            let max_cores = team.limit().cores;
+            assert!(
+                cores <= max_cores + CORES_TOLERANCE,
+                "{} uses {cores}",
+                team.name
+            );
+        }
+    }
+
+    fn check_cancellation(&self, task: &str, job: &JobId, worker: &SimulatedWorker) {
+        if let Some(cancelled_at) = self.users.cancelled_at.get(job) {
+            let elapsed_s = self.now.since(*cancelled_at).as_secs();
+            assert!(
+                elapsed_s <= self.cancel_timeout_s(),
+                "{task} on {} is cancelled since {elapsed_s}",
+                worker.id
+            );
+        }
+    }
+}
