--- a/src/controller/tests/dependencies.rs
+++ b/src/controller/tests/dependencies.rs
@@ -17,11 +17,11 @@
 }
 
 /// The status of a job by each controller.
-fn look_up_everywhere(simulation: &mut Simulation, id: &str) -> Vec<JobLookup> {
+fn query_everywhere(simulation: &mut Simulation, id: &str) -> Vec<JobLookup> {
     simulation.users.lookups.clear();
     let controllers = simulation.controllers.len();
     for controller in 0..controllers {
-        simulation.look_up(controller, id, 1);
+        simulation.query_job(controller, id, 1);
     }
     simulation.advance(0.5);
     assert_eq!(simulation.users.lookups.len(), controllers);
@@ -34,7 +34,7 @@
 }
 
 fn assert_cancelled_everywhere(simulation: &mut Simulation, id: &str) {
-    for lookup in look_up_everywhere(simulation, id) {
+    for lookup in query_everywhere(simulation, id) {
         let JobLookup::Ended(record) = lookup else {
             panic!("{id}: {lookup:?}");
         };
@@ -140,7 +140,7 @@
         assert_cancelled_everywhere(&mut simulation, "j-4");
     }
     for id in ["j-1", "j-3", "j-5"] {
-        for lookup in look_up_everywhere(&mut simulation, id) {
+        for lookup in query_everywhere(&mut simulation, id) {
             assert!(matches!(lookup, JobLookup::Live { .. }), "{id}: {lookup:?}");
         }
     }
--- a/src/controller/tests/fault_pairs/history.rs
+++ b/src/controller/tests/fault_pairs/history.rs
@@ -167,7 +167,7 @@
             let job = self.rng.random_range(0..self.jobs.len());
             let controller = self.rng.random_range(0..CONTROLLERS);
             if self.simulation.controllers[controller].is_running() {
-                self.look_up(controller, job);
+                self.query_job(controller, job);
             }
         }
         if !self.simulation.network.heartbeat_copies.is_empty() && self.rng.random_bool(0.7) {
@@ -177,9 +177,10 @@
         self.check_lookups();
     }
 
-    fn look_up(&mut self, controller: usize, job: usize) {
+    fn query_job(&mut self, controller: usize, job: usize) {
         let id = self.jobs[job].clone();
-        self.simulation.look_up(controller, id.as_str(), job as u64);
+        self.simulation
+            .query_job(controller, id.as_str(), job as u64);
     }
 
     fn deliver_late_heartbeat(&mut self) {
@@ -281,7 +282,7 @@
         self.simulation.users.lookups.clear();
         for controller in 0..CONTROLLERS {
             for job in 0..self.jobs.len() {
-                self.look_up(controller, job);
+                self.query_job(controller, job);
             }
         }
         self.simulation.advance(1.0);
--- a/src/controller/tests/process_pauses.rs
+++ b/src/controller/tests/process_pauses.rs
@@ -16,7 +16,7 @@
     simulation.advance(14.0);
     simulation.submit(&desc("j-2", 4));
     simulation.controllers[owner].faults.is_paused = false;
-    // The queued inputs are handled, the ticks first.
+    // The changes and the ticks that were due during the pause are handled.
     simulation.deliver_watch_events(owner);
     simulation.handle_input(owner, Input::Tick);
     simulation.handle_input(owner, Input::Tick);
--- a/src/controller/tests/simulation/users.rs
+++ b/src/controller/tests/simulation/users.rs
@@ -118,7 +118,7 @@
 
     /// Queries a controller for a job's status; `advance` a little to have the answer among
     /// the users' lookups.
-    pub fn look_up(&mut self, controller: usize, id: &str, request_id: u64) {
+    pub fn query_job(&mut self, controller: usize, id: &str, request_id: u64) {
         let id = id.into();
         self.handle_input(controller, Input::JobLookup { id, request_id });
     }
--- a/src/controller/tests/store_outages.rs
+++ b/src/controller/tests/store_outages.rs
@@ -20,6 +20,14 @@
     );
 }
 
+fn answer(controller: usize, request_id: u64, lookup: JobLookup) -> LookupAnswer {
+    LookupAnswer {
+        controller,
+        request_id,
+        lookup,
+    }
+}
+
 #[test]
 fn after_outages_every_controller_answers_for_every_job_within_seconds() {
     let mut simulation = Simulation::started(3, 2);
@@ -35,14 +43,10 @@
     simulation.advance(20.0);
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
     // Its watch cache is outdated: it must not answer from it, and says so at once.
-    simulation.look_up(cut_off, "j-1", 1);
+    simulation.query_job(cut_off, "j-1", 1);
     assert_eq!(
         simulation.users.lookups.pop(),
-        Some(LookupAnswer {
-            controller: cut_off,
-            request_id: 1,
-            lookup: JobLookup::Unavailable
-        })
+        Some(answer(cut_off, 1, JobLookup::Unavailable))
     );
     simulation.store.is_down = true;
     simulation.advance(30.0);
@@ -53,7 +57,7 @@
     simulation.advance(2.0);
     for controller in 0..3 {
         for number in 1..20 {
-            simulation.look_up(controller, &format!("j-{number}"), number);
+            simulation.query_job(controller, &format!("j-{number}"), number);
         }
     }
     simulation.advance(0.5);
@@ -72,26 +76,16 @@
         );
     }
     simulation.users.lookups.clear();
-    simulation.look_up(cut_off, "j-999", 99);
+    simulation.query_job(cut_off, "j-999", 99);
     simulation.advance(0.5);
     assert_eq!(
         simulation.users.lookups.pop(),
-        Some(LookupAnswer {
-            controller: cut_off,
-            request_id: 99,
-            lookup: JobLookup::NotFound
-        })
+        Some(answer(cut_off, 99, JobLookup::NotFound))
     );
 }
 
-/// The watch fell behind the store's log: the same owner lists the whole store again under the
-/// same term.
-#[test]
-fn listing_the_store_again_keeps_running_tasks() {
-    let mut simulation = Simulation::started(1, 2);
-    simulation.submit(&desc("j-1", 4));
-    simulation.advance(3.0);
-    // Fenced several times, so that its token is far above the term's first.
+/// Delays the launches of four jobs, so that the workers' tokens are far above the term's first.
+fn fence_several_times(simulation: &mut Simulation) {
     for number in 2..6 {
         simulation.network.holds_commands = true;
         simulation.submit(&desc(&format!("j-{number}"), 1));
@@ -99,17 +93,28 @@
         simulation.network.holds_commands = false;
         simulation.advance(4.0);
     }
+}
+
+fn fencing_tokens(simulation: &Simulation) -> Vec<u64> {
+    let workers = simulation.workers.iter();
+    workers.map(|worker| worker.fencing_token.0).collect()
+}
+
+/// The watch fell behind the store's log: the same owner lists the whole store again under the
+/// same term.
+#[test]
+fn listing_the_store_again_keeps_running_tasks() {
+    let mut simulation = Simulation::started(1, 2);
+    simulation.submit(&desc("j-1", 4));
+    simulation.advance(3.0);
+    fence_several_times(&mut simulation);
     let copies = [
         simulation.workers[0].heartbeat(),
         simulation.workers[1].heartbeat(),
     ];
     simulation.finish_all();
     simulation.advance(4.0);
-    let earlier: Vec<u64> = simulation
-        .workers
-        .iter()
-        .map(|worker| worker.fencing_token.0)
-        .collect();
+    let earlier = fencing_tokens(&simulation);
     // Cut from the store: jobs submitted and cancelled meanwhile come with the list.
     simulation.submit(&desc("j-7", 1));
     simulation.advance(2.0);
@@ -135,11 +140,7 @@
     );
     assert!(simulation.workers_running("j-7/0").is_empty());
     assert_eq!(simulation.running_count(), 2);
-    let later: Vec<u64> = simulation
-        .workers
-        .iter()
-        .map(|worker| worker.fencing_token.0)
-        .collect();
+    let later = fencing_tokens(&simulation);
     assert!(
         earlier
             .iter()
