--- a/src/autoscaler/shards.rs
+++ b/src/autoscaler/shards.rs
@@ -4,7 +4,7 @@
 use crate::ids::{MachineId, PartitionId};
 use crate::mesh::PartitionState;
 use crate::partitions::{MachineRecord, ShardRecord};
-use crate::store::TXN_BYTES;
+use crate::store::MAX_TRANSACTION_BYTES;
 use crate::watch_cache::WatchCache;
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
     pub fn full(&self, others: usize) -> bool {
         let bytes: usize = self.shards.values().map(ShardRecord::estimated_size).sum();
         // One change is kept for the term.
-        self.shards.len() + others + 1 >= self.txn_ops || bytes > TXN_BYTES
+        self.shards.len() + others + 1 >= self.txn_ops || bytes > MAX_TRANSACTION_BYTES
     }
 
     fn shard(&mut self, at: (PartitionId, u32), others: usize) -> Option<&mut ShardRecord> {
--- a/src/controller/store_tasks.rs
+++ b/src/controller/store_tasks.rs
@@ -7,7 +7,7 @@
 use crate::clock::MonotonicClock;
 use crate::ids::Revision;
 use crate::store::RequestPriority;
-use crate::store::client::{KvClient, WatchResponse};
+use crate::store::client::{KvClient, LoadedKeys, WatchResponse};
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
@@ -31,13 +31,13 @@
 ) {
     loop {
         let requested_at = clock.now();
-        let Some((entries, revision)) = store.load_all().await else {
+        let Some(LoadedKeys { entries, revision }) = store.load_all().await else {
             tokio::time::sleep(LOAD_RETRY_DELAY).await;
             continue;
         };
         let snapshot = StoreSnapshot {
             entries,
-            revision: Revision(revision),
+            revision,
             requested_at,
         };
         if inputs.send(Input::Loaded(snapshot)).await.is_err() {
@@ -55,16 +55,16 @@
     store: &KvClient,
     clock: MonotonicClock,
     inputs: &mpsc::Sender<Input>,
-    mut since: u64,
+    mut since: Revision,
 ) -> Result<(), InputsClosed> {
     loop {
         let requested_at = clock.now();
         match store.watch(since).await {
-            WatchResponse::Events(events, revision) => {
+            WatchResponse::Events { events, revision } => {
                 since = revision.max(since);
                 let changes = StoreChanges {
                     events,
-                    revision: Revision(revision),
+                    revision,
                     requested_at,
                 };
                 let sent = inputs.send(Input::Changes(changes)).await;
--- a/src/partition_owner/records.rs
+++ b/src/partition_owner/records.rs
@@ -5,7 +5,7 @@
 use crate::ids::{JobId, MachineId, Revision};
 use crate::partitions::{PartitionOwnerRecord, write_parts};
 use crate::placement::{self, CapacityRequest};
-use crate::store::{self, Compare, Mutation, Reply, TXN_BYTES, compare, keys};
+use crate::store::{self, Compare, MAX_TRANSACTION_BYTES, Mutation, Reply, compare, keys};
 use crate::watch_cache::WatchCache;
 use crate::workers::{AttemptKey, Machine, ReleaseOutcome};
 
@@ -92,7 +92,9 @@
             if only_display && !self.display.take(now, 1.0, 0.0) {
                 break;
             }
-            if mutations.len() >= budget || bytes > TXN_BYTES || !self.progress.take(now, 1.0, 0.0)
+            if mutations.len() >= budget
+                || bytes > MAX_TRANSACTION_BYTES
+                || !self.progress.take(now, 1.0, 0.0)
             {
                 break;
             }
@@ -243,7 +245,7 @@
             if parts > most {
                 continue;
             }
-            if mutations.len() + parts > most || bytes > TXN_BYTES {
+            if mutations.len() + parts > most || bytes > MAX_TRANSACTION_BYTES {
                 break;
             }
             let mut new: Option<ShardRecord> = None;
--- /dev/null
+++ b/src/store/request/tests.rs
@@ -0,0 +1,17 @@
+use super::*;
+
+#[test]
+fn a_value_above_the_limit_is_found_before_it_is_sent() {
+    let set = |length: usize| put(format!("a/{length}"), &"x".repeat(length));
+    // The quotes count.
+    let mutations = vec![delete("a/0".into()), set(1_998), set(1_999)];
+    let request = Request::CompareAndSwap {
+        compares: Vec::new(),
+        mutations,
+    };
+    let oversized = |key, bytes| Some(OversizedValue { key, bytes });
+    assert_eq!(request.oversized_value(2_001), None);
+    assert_eq!(request.oversized_value(2_000), oversized("a/1999", 2_001));
+    assert_eq!(request.oversized_value(1_000), oversized("a/1998", 2_000));
+    assert_eq!(request.keys(), ["a/0", "a/1998", "a/1999"]);
+}
