--- a/src/api/read_index.rs
+++ b/src/api/read_index.rs
@@ -166,7 +166,7 @@
                     // read here.
                     None => self.pending.push(lookup),
                 }
-            } else if cache.unreadable_jobs.contains(&lookup.id) {
+            } else if cache.is_job_unreadable(&lookup.id) {
                 // It was accepted: "no such job" would make its user give it up.
                 effects.push(lookup.answer(JobLookup::Unavailable));
             } else {
--- a/src/controller/core/garbage_collection.rs
+++ b/src/controller/core/garbage_collection.rs
@@ -41,7 +41,7 @@
         // Each page takes a condition and a change.
         let max_mutations = self.configuration.settings.max_mutations();
         let max_pages = (max_mutations / 2).min(MAX_DELETED_PAGES);
-        let pages = self.store.cache().garbage(max_pages);
+        let pages = self.store.cache().orphaned_progress_pages(max_pages);
         if pages.is_empty() {
             return;
         }
--- a/src/controller/core/health.rs
+++ b/src/controller/core/health.rs
@@ -17,7 +17,7 @@
     /// Whether users should come here: not while this controller lacks the store and another
     /// has it. In an outage all lack it, and nobody gains from a removal.
     pub(super) fn is_healthy(&self, now: Micros) -> bool {
-        if !self.store.cache().loaded {
+        if !self.store.cache().is_loaded() {
             return false;
         }
         if now.since(self.store.last_read_at()) < UNHEALTHY_STALENESS {
--- a/src/controller/core/machine_types.rs
+++ b/src/controller/core/machine_types.rs
@@ -74,7 +74,7 @@
 impl Core {
     /// Requests the machine types from the cloud while they are unknown.
     pub(super) fn request_unknown_machine_types(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if self.store.cache().loaded
+        if self.store.cache().is_loaded()
             && self.machine_types.types.is_none()
             && self.in_flight.begin_request(now, RequestKind::MachineTypes)
         {
--- a/src/controller/core/store_reader.rs
+++ b/src/controller/core/store_reader.rs
@@ -41,7 +41,7 @@
 
     /// Whether the store was read of late.
     pub(super) fn is_fresh(&self, now: Micros) -> bool {
-        self.cache.loaded && now.since(self.last_read_at) < MAX_STALENESS
+        self.cache.is_loaded() && now.since(self.last_read_at) < MAX_STALENESS
     }
 
     fn load(&mut self, snapshot: StoreSnapshot) {
--- a/src/leader/grants/tests.rs
+++ b/src/leader/grants/tests.rs
@@ -5,10 +5,8 @@
 use crate::settings::tests::settings;
 
 fn cache(members: &[(&str, u64)]) -> WatchCache {
-    let mut cache = WatchCache {
-        loaded: true,
-        ..WatchCache::default()
-    };
+    let mut cache = WatchCache::default();
+    cache.load(Vec::new());
     cache.leader = Some((
         Revision(5),
         LeaderRecord {
--- a/src/watch_cache/mod.rs
+++ b/src/watch_cache/mod.rs
@@ -1,65 +1,71 @@
-//! What this controller has read of the store, in the order of its changes.
+//! The store's records as this controller has read them, in the order of their changes.
 //!
-//! It may lag. Nothing is decided by it alone: every write names the revisions
-//! that it relies on, so a view that is out of date makes the write fail.
+//! The cache owns the parsed records and may lag behind the store. Nothing may be decided
+//! by it alone: every write names the revisions that it relies on, so a cache that is out
+//! of date makes the write fail. It never writes to the store and never guesses what an
+//! unreadable record holds.
+
+mod queries;
+mod unreadable_record;
 
 use crate::cloud::{MachineType, ScaleOutRecord};
 use crate::ids::{JobId, Label, MachineId, PartitionId, Revision};
 use crate::jobs::{JobRecord, ProgressRecord};
 use crate::partitions::{
-    FormatLevel, FormatRecord, LeaderRecord, MachineRecord, MemberRecord, PartitionOwnerRecord,
-    ShardRecord, TermRecord,
+    FormatRecord, LeaderRecord, MemberRecord, PartitionOwnerRecord, ShardRecord, TermRecord,
 };
+use crate::store::keys::Key;
 use crate::store::{KeyValue, WatchEvent};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
+use unreadable_record::parse_record;
 
+/// Records by name, each with the revision of its key's last change.
 type Table<K, V> = BTreeMap<K, (Revision, V)>;
 
-/// The store's records as this controller has read them.
+/// The store's records as this controller has read them, each with the revision of its
+/// key's last change.
 #[derive(Debug, Default)]
 pub struct WatchCache {
-    /// Whether a full reading has come.
-    pub loaded: bool,
-    /// The last term given out.
+    is_loaded: bool,
+    /// The last fencing term that was granted.
     pub term: (Revision, TermRecord),
-    /// Who leads.
+    /// The leader.
     pub leader: Option<(Revision, LeaderRecord)>,
     /// The machine types.
     pub types: Option<(Revision, Vec<MachineType>)>,
     /// The format level that every controller understands; none is recorded at first.
     pub format: Option<(Revision, FormatRecord)>,
-    /// The states of all zones, as they were written: their subsystem reads them.
+    /// The states of all zones, as they were written: their subsystem parses them.
     pub zones: Option<(Revision, Value)>,
     /// The controllers that take part.
     pub members: Table<Label, MemberRecord>,
-    /// Who holds each partition.
+    /// Each partition's owner.
     pub partition_owners: Table<PartitionId, PartitionOwnerRecord>,
-    /// Each partition's machines, in shards.
+    /// Each partition's machines, by partition and number of the shard.
     pub machine_shards: Table<(PartitionId, u32), Rc<ShardRecord>>,
-    /// Where each machine is recorded.
-    pub(crate) machine_locations: BTreeMap<MachineId, (PartitionId, u32)>,
-    /// Jobs that are not over.
+    /// The shard that records each machine.
+    machine_locations: BTreeMap<MachineId, (PartitionId, u32)>,
+    /// Jobs that have not ended.
     pub jobs: Table<JobId, Rc<JobRecord>>,
-    /// Jobs that are not over and whose record can't be read: nothing of them starts, and
-    /// nobody says that they are unknown.
-    pub unreadable_jobs: BTreeSet<JobId>,
-    /// Records that could not be read so far.
-    pub unreadable: u64,
-    /// Their progress, in pages.
+    /// Jobs that have not ended and whose record can't be parsed: nothing of them starts,
+    /// and they are not reported as unknown.
+    unreadable_jobs: BTreeSet<JobId>,
+    unreadable_records: u64,
+    /// The jobs' progress, by job and number of the page.
     pub progress_pages: Table<(JobId, u32), ProgressRecord>,
-    /// Rentals that are not settled.
+    /// Scale-outs that are not settled.
     pub scale_outs: Table<String, ScaleOutRecord>,
-    /// The teams' sums, by who wrote them.
+    /// The teams' usage, by the controller that wrote it.
     pub team_usage: Table<Label, Value>,
 }
 
 /// What a change touched, for those who keep more than the cache does.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CacheChange {
-    /// Who holds a partition.
+    /// A partition's owner.
     PartitionOwner(PartitionId),
     /// A shard of a partition's machines.
     Shard(PartitionId, u32),
@@ -71,220 +77,154 @@
     Other,
 }
 
-/// What a key's value says; none: there is none, or it can't be read. An earlier or a
-/// later version may have written it, so it is told and counted, and never guessed at.
-fn read<T: DeserializeOwned>(key: &str, value: Option<Value>, unreadable: &mut u64) -> Option<T> {
-    match serde_json::from_value(value?) {
-        Ok(record) => Some(record),
-        Err(error) => {
-            *unreadable += 1;
-            tracing::error!(key, %error, "a record can't be read");
-            None
-        }
-    }
+/// One change of a key: its new value, or none if it was deleted.
+struct KeyUpdate<'a> {
+    key: &'a str,
+    value: Option<Value>,
+    revision: Revision,
 }
 
-fn put<K: Ord, T>(table: &mut Table<K, T>, key: K, record: Option<T>, revision: Revision) {
+/// Sets an entry, or removes it if there is no record (any more).
+fn put_entry<K: Ord, T>(table: &mut Table<K, T>, name: K, record: Option<(Revision, T)>) {
     match record {
-        Some(record) => table.insert(key, (revision, record)),
-        None => table.remove(&key),
+        Some(record) => table.insert(name, record),
+        None => table.remove(&name),
     };
 }
 
 impl WatchCache {
     /// Starts over from a full reading.
-    pub fn load(&mut self, rows: Vec<KeyValue>) {
+    pub fn load(&mut self, entries: Vec<KeyValue>) {
         *self = WatchCache {
-            loaded: true,
+            is_loaded: true,
             ..WatchCache::default()
         };
-        for row in rows {
-            self.apply(&row.key, Some(row.value), row.revision);
+        for entry in entries {
+            self.apply(&entry.key, Some(entry.value), entry.revision);
         }
     }
 
     /// Takes one change in.
-    pub fn apply_event(&mut self, c: WatchEvent) -> CacheChange {
-        match (c.set, c.delete) {
-            (Some(key), _) => self.apply(&key, Some(c.value), c.revision),
-            (None, Some(key)) => self.apply(&key, None, c.revision),
+    pub fn apply_event(&mut self, event: WatchEvent) -> CacheChange {
+        match (event.set, event.delete) {
+            (Some(key), _) => self.apply(&key, Some(event.value), event.revision),
+            (None, Some(key)) => self.apply(&key, None, event.revision),
             (None, None) => CacheChange::Other,
         }
     }
 
     fn apply(&mut self, key: &str, value: Option<Value>, revision: Revision) -> CacheChange {
-        let unreadable = &mut self.unreadable;
-        let parts: Vec<&str> = key.split('/').collect();
-        match parts.as_slice() {
-            ["r", "term"] => {
-                let record = read(key, value, unreadable);
-                self.term = record.map_or_else(Default::default, |r| (revision, r));
-            }
-            ["r", "leader"] => {
-                self.leader = read(key, value, unreadable).map(|r| (revision, r));
-            }
-            ["r", "types"] => {
-                self.types = read(key, value, unreadable).map(|r| (revision, r));
-            }
-            ["r", "format"] => {
-                self.format = read(key, value, unreadable).map(|r| (revision, r));
+        let update = KeyUpdate {
+            key,
+            value,
+            revision,
+        };
+        match Key::parse(key) {
+            None => return CacheChange::Other,
+            Some(Key::PartitionOwner(partition)) => {
+                return self.apply_partition_owner(partition, update);
             }
-            ["r", "zones"] => self.zones = value.map(|v| (revision, v)),
-            ["r", "members", label] => {
-                let record = read(key, value, unreadable);
-                put(&mut self.members, Label::from(*label), record, revision);
+            Some(Key::Shard { partition, number }) => {
+                return self.apply_shard(partition, number, update);
             }
-            ["r", "sums", label] => put(&mut self.team_usage, Label::from(*label), value, revision),
-            ["r", "hires", name] => {
-                let record = read(key, value, unreadable);
-                put(&mut self.scale_outs, name.to_string(), record, revision);
+            Some(Key::Job(id)) => return self.apply_job(id, update),
+            Some(Key::ProgressPage { job, page }) => {
+                return self.apply_progress_page(job, page, update);
             }
-            ["r", "blocks", b, "holder"] => {
-                let Ok(b) = b.parse().map(PartitionId) else {
-                    return CacheChange::Other;
-                };
-                let record = read(key, value, unreadable);
-                put(&mut self.partition_owners, b, record, revision);
-                return CacheChange::PartitionOwner(b);
+            Some(Key::Term) => self.term = self.parse(update).unwrap_or_default(),
+            Some(Key::Leader) => self.leader = self.parse(update),
+            Some(Key::MachineTypes) => self.types = self.parse(update),
+            Some(Key::Format) => self.format = self.parse(update),
+            Some(Key::Zones) => self.zones = update.value.map(|value| (revision, value)),
+            Some(Key::Member(label)) => {
+                let record = self.parse(update);
+                put_entry(&mut self.members, label, record);
             }
-            ["r", "blocks", b, "machines", shard] => {
-                let (Ok(b), Ok(shard)) = (b.parse().map(PartitionId), shard.parse()) else {
-                    return CacheChange::Other;
-                };
-                let record = read(key, value, unreadable).map(Rc::new);
-                self.put_shard((b, shard), record, revision);
-                return CacheChange::Shard(b, shard);
+            Some(Key::TeamUsage(label)) => {
+                let usage = update.value.map(|value| (revision, value));
+                put_entry(&mut self.team_usage, label, usage);
             }
-            ["r", "jobs", id] => {
-                let id = JobId::from(*id);
-                let there = value.is_some();
-                let record = read(key, value, unreadable).map(Rc::new);
-                if there && record.is_none() {
-                    self.unreadable_jobs.insert(id.clone());
-                } else {
-                    self.unreadable_jobs.remove(&id);
-                }
-                put(&mut self.jobs, id.clone(), record, revision);
-                return CacheChange::Job(id);
-            }
-            ["r", "done", id, page] => {
-                if let Ok(page) = page.parse() {
-                    let id = JobId::from(*id);
-                    let record = read(key, value, unreadable);
-                    put(
-                        &mut self.progress_pages,
-                        (id.clone(), page),
-                        record,
-                        revision,
-                    );
-                    return CacheChange::ProgressPage(id, page);
-                }
+            Some(Key::ScaleOut(name)) => {
+                let record = self.parse(update);
+                put_entry(&mut self.scale_outs, name, record);
             }
-            _ => {}
         }
         CacheChange::Other
     }
 
-    fn put_shard(
+    fn apply_partition_owner(
         &mut self,
-        at: (PartitionId, u32),
-        record: Option<Rc<ShardRecord>>,
-        revision: Revision,
-    ) {
-        if let Some((_, old)) = self.machine_shards.get(&at) {
+        partition: PartitionId,
+        update: KeyUpdate<'_>,
+    ) -> CacheChange {
+        let record = self.parse(update);
+        put_entry(&mut self.partition_owners, partition, record);
+        CacheChange::PartitionOwner(partition)
+    }
+
+    fn apply_shard(
+        &mut self,
+        partition: PartitionId,
+        number: u32,
+        update: KeyUpdate<'_>,
+    ) -> CacheChange {
+        let shard = (partition, number);
+        let record = self.parse_shared::<ShardRecord>(update);
+        if let Some((_, old)) = self.machine_shards.get(&shard) {
             // A machine that moved may be at its new place already.
             for id in old.0.keys() {
-                if self.machine_locations.get(id) == Some(&at) {
+                if self.machine_locations.get(id) == Some(&shard) {
                     self.machine_locations.remove(id);
                 }
             }
         }
-        put(&mut self.machine_shards, at, record, revision);
-        if let Some((_, new)) = self.machine_shards.get(&at) {
+        if let Some((_, new)) = &record {
             self.machine_locations
-                .extend(new.0.keys().map(|id| (id.clone(), at)));
+                .extend(new.0.keys().map(|id| (id.clone(), shard)));
         }
+        put_entry(&mut self.machine_shards, shard, record);
+        CacheChange::Shard(partition, number)
     }
 
-    /// The revision of a partition's owner key, 0 if it has none.
-    pub fn owner_revision(&self, b: PartitionId) -> Revision {
-        self.partition_owners.get(&b).map_or(Revision(0), |h| h.0)
-    }
-
-    /// The revision of a shard, 0 if there is none.
-    pub fn shard_revision(&self, at: (PartitionId, u32)) -> Revision {
-        self.machine_shards.get(&at).map_or(Revision(0), |m| m.0)
-    }
-
-    /// A partition's shards, in order.
-    pub fn shards(
-        &self,
-        b: PartitionId,
-    ) -> impl Iterator<Item = (u32, Revision, &Rc<ShardRecord>)> {
-        self.machine_shards
-            .range((b, 0)..=(b, u32::MAX))
-            .map(|((_, n), (revision, rec))| (*n, *revision, rec))
-    }
-
-    /// The recorded machines of one partition.
-    pub fn machines_of(
-        &self,
-        b: PartitionId,
-    ) -> impl Iterator<Item = (&MachineId, &MachineRecord)> {
-        self.shards(b).flat_map(|(_, _, rec)| rec.0.iter())
-    }
-
-    /// Every recorded machine of every partition.
-    pub fn all_machines(&self) -> impl Iterator<Item = (PartitionId, &MachineId, &MachineRecord)> {
-        let shards = self.machine_shards.iter();
-        shards.flat_map(|((b, _), (_, rec))| rec.0.iter().map(move |(id, m)| (*b, id, m)))
-    }
-
-    /// Where a machine is recorded, and how.
-    pub fn machine(&self, id: &MachineId) -> Option<((PartitionId, u32), &MachineRecord)> {
-        let at = *self.machine_locations.get(id)?;
-        let (_, rec) = self.machine_shards.get(&at)?;
-        Some((at, rec.0.get(id)?))
-    }
-
-    /// Whether the incarnation that a partition names still has its member lease.
-    pub fn is_owner_alive(&self, rec: &PartitionOwnerRecord) -> bool {
-        self.members
-            .get(&rec.owner)
-            .is_some_and(|(revision, _)| *revision == rec.incarnation)
-    }
-
-    /// Who handed a partition back that nobody has been granted since.
-    pub fn handed_back_by(&self, b: PartitionId) -> Option<&Label> {
-        let (_, rec) = self.partition_owners.get(&b)?;
-        (rec.incarnation == Revision(0)).then_some(&rec.owner)
-    }
-
-    /// The format level that every controller understands.
-    pub fn format_level(&self) -> FormatLevel {
-        self.format.map_or_else(Default::default, |(_, r)| r.level)
-    }
-
-    /// Numbers of a partition's shards that are not in use, in order.
-    pub fn free_shards(&self, b: PartitionId) -> impl Iterator<Item = u32> {
-        (0..u32::MAX).filter(move |n| !self.machine_shards.contains_key(&(b, *n)))
-    }
-
-    /// A job's progress, with the revisions of its pages.
-    pub fn progress(&self, id: &JobId) -> impl Iterator<Item = (u32, Revision, &ProgressRecord)> {
-        let pages = self
-            .progress_pages
-            .range((id.clone(), 0)..=(id.clone(), u32::MAX));
-        pages.map(|((_, page), (revision, rec))| (*page, *revision, rec))
+    fn apply_job(&mut self, id: JobId, update: KeyUpdate<'_>) -> CacheChange {
+        let is_recorded = update.value.is_some();
+        let record = self.parse_shared(update);
+        if is_recorded && record.is_none() {
+            self.unreadable_jobs.insert(id.clone());
+        } else {
+            self.unreadable_jobs.remove(&id);
+        }
+        put_entry(&mut self.jobs, id.clone(), record);
+        CacheChange::Job(id)
+    }
+
+    fn apply_progress_page(&mut self, job: JobId, page: u32, update: KeyUpdate<'_>) -> CacheChange {
+        let record = self.parse(update);
+        put_entry(&mut self.progress_pages, (job.clone(), page), record);
+        CacheChange::ProgressPage(job, page)
+    }
+
+    /// The record that an update sets; none if it deletes the key, or if its value can't
+    /// be parsed, which is counted and logged.
+    fn parse<T: DeserializeOwned>(&mut self, update: KeyUpdate<'_>) -> Option<(Revision, T)> {
+        match parse_record(update.key, update.value?) {
+            Ok(record) => Some((update.revision, record)),
+            Err(unreadable) => {
+                self.unreadable_records += 1;
+                let (key, error) = (&unreadable.key, &unreadable.source);
+                tracing::error!(key, %error, "record unreadable");
+                None
+            }
+        }
     }
 
-    /// Progress of jobs that are over, of no use to anyone: some of it.
-    pub fn garbage(&self, most: usize) -> Vec<(JobId, u32)> {
-        let over = self
-            .progress_pages
-            .keys()
-            .filter(|(id, _)| !self.jobs.contains_key(id));
-        over.take(most).cloned().collect()
+    /// As [`WatchCache::parse`], for records that others keep, too.
+    fn parse_shared<T: DeserializeOwned>(
+        &mut self,
+        update: KeyUpdate<'_>,
+    ) -> Option<(Revision, Rc<T>)> {
+        let (revision, record) = self.parse(update)?;
+        Some((revision, Rc::new(record)))
     }
 }
 
--- a/src/watch_cache/tests.rs
+++ b/src/watch_cache/tests.rs
@@ -1,32 +1,44 @@
 use super::*;
+use crate::partitions::MachineRecord;
 
-#[test]
-fn a_machine_that_moves_between_shards_is_found_where_it_is_now() {
-    let rec = |ids: &[&str]| {
-        let all = ids.iter().map(|id| (*id).into());
-        let blank = |id: MachineId| (id, MachineRecord::blank(String::new(), "big", "x", false));
-        serde_json::to_value(ShardRecord(all.map(blank).collect())).expect("a record")
+fn shard_of(machines: &[&str]) -> Value {
+    let blank = |id: &&str| {
+        let record = MachineRecord::blank(String::new(), "big", "x", false);
+        (MachineId::from(*id), record)
     };
-    let mut m = WatchCache::default();
-    m.apply(
+    serde_json::to_value(ShardRecord(machines.iter().map(blank).collect())).expect("a record")
+}
+
+#[test]
+fn a_machine_that_moves_between_shards_is_found_at_its_new_location() {
+    let mut cache = WatchCache::default();
+    cache.apply(
         "r/blocks/0/machines/0",
-        Some(rec(&["m-1", "m-2"])),
+        Some(shard_of(&["m-1", "m-2"])),
         Revision(1),
     );
-    // One transaction, told in the order that loses it if the old place wins.
-    m.apply("r/blocks/1/machines/3", Some(rec(&["m-1"])), Revision(2));
-    m.apply("r/blocks/0/machines/0", Some(rec(&["m-2"])), Revision(2));
-    let at = |id: &str| m.machine(&id.into()).map(|(at, _)| at);
-    assert_eq!(at("m-1"), Some((PartitionId(1), 3)));
-    assert_eq!(at("m-2"), Some((PartitionId(0), 0)));
-    assert_eq!(m.machines_of(PartitionId(0)).count(), 1);
+    // One transaction, reported in the order that loses it if the old location wins.
+    cache.apply(
+        "r/blocks/1/machines/3",
+        Some(shard_of(&["m-1"])),
+        Revision(2),
+    );
+    cache.apply(
+        "r/blocks/0/machines/0",
+        Some(shard_of(&["m-2"])),
+        Revision(2),
+    );
+    let location = |id: &str| cache.machine(&id.into()).map(|(shard, _)| shard);
+    assert_eq!(location("m-1"), Some((PartitionId(1), 3)));
+    assert_eq!(location("m-2"), Some((PartitionId(0), 0)));
+    assert_eq!(cache.machines_of(PartitionId(0)).count(), 1);
 }
 
 #[test]
-fn what_cant_be_read_is_counted_and_dropped_and_its_job_is_not_unknown() {
+fn unreadable_records_are_counted_and_dropped_and_their_job_is_not_unknown() {
     let job = JobId::from("j-1");
-    let rec = crate::jobs::tests::rec("j-1", 4, crate::ids::Term(1));
-    let good = serde_json::to_value(rec).expect("a record");
+    let record = crate::jobs::tests::rec("j-1", 4, crate::ids::Term(1));
+    let readable = serde_json::to_value(record).expect("a record");
     let broken = serde_json::json!({"desc": 7});
     let keys = [
         "r/term",
@@ -40,17 +52,18 @@
         "r/jobs/j-1",
         "r/done/j-1/0000",
     ];
-    let mut m = WatchCache::default();
-    for (n, key) in (1..).zip(keys) {
-        m.apply(key, Some(broken.clone()), Revision(n));
-        assert_eq!(m.unreadable, n, "{key}");
+    let mut cache = WatchCache::default();
+    for (count, key) in (1..).zip(keys) {
+        cache.apply(key, Some(broken.clone()), Revision(count));
+        assert_eq!(cache.unreadable_records(), count, "{key}");
     }
-    assert!(m.jobs.is_empty() && m.progress_pages.is_empty() && m.machine_shards.is_empty());
-    assert!(m.unreadable_jobs.contains(&job));
-    // Gone is not unreadable.
-    m.apply("r/jobs/j-1", None, Revision(20));
-    assert!(m.unreadable_jobs.is_empty());
-    m.apply("r/jobs/j-1", Some(good), Revision(21));
-    assert!(m.jobs.contains_key(&job) && m.unreadable_jobs.is_empty());
-    assert_eq!(m.unreadable, 10);
+    assert!(cache.jobs.is_empty());
+    assert!(cache.progress_pages.is_empty() && cache.machine_shards.is_empty());
+    assert!(cache.is_job_unreadable(&job));
+    // A deleted job is not unreadable.
+    cache.apply("r/jobs/j-1", None, Revision(20));
+    assert!(cache.unreadable_jobs.is_empty());
+    cache.apply("r/jobs/j-1", Some(readable), Revision(21));
+    assert!(cache.jobs.contains_key(&job) && cache.unreadable_jobs.is_empty());
+    assert_eq!(cache.unreadable_records(), 10);
 }
