--- a/src/store/request.rs
+++ b/src/store/request.rs
@@ -1,4 +1,4 @@
-//! What the store is asked for: reads, compare-and-swaps and leases.
+//! Requests to the store: reads, compare-and-swaps and leases.
 
 use crate::clock::Micros;
 use crate::ids::{LeaseId, Revision};
