--- a/crates/rockdeal-types/tests/ids.rs
+++ b/crates/rockdeal-types/tests/ids.rs
@@ -1,3 +1,5 @@
+//! Identifiers, and the numbers that terms and epochs make up.
+
 use rockdeal_types::ids::{FencingToken, JobId, TaskId, Term};
 
 #[test]
--- a/crates/zone-failover/src/settings/health.rs
+++ b/crates/zone-failover/src/settings/health.rs
@@ -30,8 +30,16 @@
 
 impl RawHealth {
     pub(super) fn check(&self) -> Result<HealthSettings, SettingsError> {
+        let with_times = self.check_times()?;
+        let health = self.check_shares(with_times)?;
+        self.check_together(&health)?;
+        Ok(health)
+    }
+
+    /// The defaults with the times that are given.
+    fn check_times(&self) -> Result<HealthSettings, SettingsError> {
         let default = HealthSettings::default();
-        let health = HealthSettings {
+        Ok(HealthSettings {
             suspect_after: duration(
                 "suspect-after",
                 &self.suspect_after,
@@ -75,6 +83,13 @@
                 default.patience,
                 Micros::ZERO..=MAX_PATIENCE,
             )?,
+            ..default
+        })
+    }
+
+    /// The same with the shares and numbers that are given.
+    fn check_shares(&self, default: HealthSettings) -> Result<HealthSettings, SettingsError> {
+        Ok(HealthSettings {
             lost_share: number(
                 "lost-share",
                 &self.lost_share,
@@ -88,9 +103,8 @@
                 default.min_machines,
                 1..=1_000,
             )?,
-        };
-        self.check_together(&health)?;
-        Ok(health)
+            ..default
+        })
     }
 
     /// What contradicts each other.
--- a/crates/zone-failover/tests/evacuation.rs
+++ b/crates/zone-failover/tests/evacuation.rs
@@ -1,5 +1,7 @@
 //! The order of displaced work and its waves, over random work.
 
+#![expect(clippy::expect_used, reason = "helpers of tests fail by panicking")]
+
 mod common;
 
 use proptest::prelude::*;
--- a/crates/zone-failover/tests/settings.rs
+++ b/crates/zone-failover/tests/settings.rs
@@ -1,5 +1,7 @@
 //! Bad input is refused with its place and a remedy; windows follow the clocks of their zone.
 
+#![expect(clippy::expect_used, reason = "helpers of tests fail by panicking")]
+
 use jiff::civil::{Time, Weekday, date};
 use jiff::tz::TimeZoneDatabase;
 use rockdeal_types::clock::Micros;
@@ -29,6 +31,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn what_is_wrong_is_refused_even_where_the_subsystem_is_off() {
     let cases = [
         ("enable = true", "unknown field `enable`"),
@@ -117,6 +120,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one file with every key")]
 fn every_key_is_read_from_its_place() {
     let text = r#"enabled = true
         evacuation-priority = "rank_level"
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Waits up to [`WATCH_WAIT`] for changes after a revision.
+    /// Waits up to `WATCH_WAIT` for changes after a revision.
     pub async fn watch(&self, since: Revision) -> WatchResponse {
         if !self.admit(RequestPriority::Critical, 0) {
             return WatchResponse::Failed;
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,6 +1,8 @@
 //! The command line: what a check says of the subsystems file, and what is refused before
 //! the start.
 
+#![expect(clippy::expect_used, reason = "helpers of tests fail by panicking")]
+
 use serde_json::{Value, json};
 use std::path::PathBuf;
 use std::process::{Command, Output};
