--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -19,7 +19,6 @@
 use crate::store::{Compare, Mutation, Reply};
 use crate::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
-use std::sync::Arc;
 use zone_failover::leader::ScaleOutAccess;
 
 /// A leader's write, as it comes back with its answer.
@@ -250,7 +249,13 @@
                     }
                 }
             }
-            (CloudRequest::ScaleOut(name, rental), reply) => {
+            (
+                CloudRequest::ScaleOut {
+                    name,
+                    record: rental,
+                },
+                reply,
+            ) => {
                 let Some((_, state)) = self.rentals.get_mut(&name) else {
                     return;
                 };
@@ -260,7 +265,7 @@
                     spot: rental.spot,
                 };
                 match reply {
-                    CloudReply::Rented(ids) => {
+                    CloudReply::ScaledOut(ids) => {
                         if (ids.len() as u32) < rental.count {
                             self.backoff.insert(
                                 offer,
@@ -361,6 +366,3 @@
         }
     }
 }
-
-/// The machine types, shared.
-pub type MachineTypes = Arc<Vec<MachineType>>;
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -43,10 +43,10 @@
         for (name, (rental, state)) in &mut self.rentals {
             match state {
                 ScaleOutState::Ask(at) if now >= *at => {
-                    out.push(Effect::Cloud(CloudRequest::ScaleOut(
-                        name.clone(),
-                        rental.clone(),
-                    )));
+                    out.push(Effect::Cloud(CloudRequest::ScaleOut {
+                        name: name.clone(),
+                        record: rental.clone(),
+                    }));
                     *state = ScaleOutState::StatusQuery;
                 }
                 ScaleOutState::Refused => {
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -1,15 +1,26 @@
-//! HTTP to the cloud, below its limit at all times.
+//! The HTTP client of the cloud's interface. It stays below the interface's rate limit at all
+//! times, and sends each request once: whether to repeat one is the caller's decision.
 
-use super::{CloudMachine, CloudReply, CloudRequest, MachineType};
+use super::wire::{self, HttpResponse, ResponseError};
+use super::{CloudMachine, CloudReply, CloudRequest};
 use crate::clock::MonotonicClock;
 use crate::http_client::{HttpRequest, Pool};
-use crate::ids::MachineId;
 use crate::store::client::TokenBucket;
-use serde::Deserialize;
-use serde_json::json;
 use std::cell::RefCell;
 use std::time::Duration;
 
+pub(crate) use super::wire::http_request;
+
+/// How long a request may take, from its sending to the whole response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
+
+/// How often the rate limit is tried while it is used up.
+const RATE_LIMIT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The leader's share of the rate limit. Only the leader sends requests regularly; the other
+/// controllers' few at their start fit into what is left.
+const LEADER_RATE_SHARE: f64 = 0.75;
+
 /// A client of the cloud's interface.
 pub struct CloudClient {
     pool: Pool,
@@ -17,126 +28,73 @@
     clock: MonotonicClock,
 }
 
-const DEADLINE: Duration = Duration::from_secs(6);
-const PAGE: usize = 500;
-
-#[derive(Deserialize)]
-struct MachineTypesPage {
-    #[serde(rename = "builds")]
-    machine_types: Vec<MachineType>,
-}
-#[derive(Deserialize)]
-struct Rented {
-    rigs: Vec<MachineId>,
-}
-#[derive(Deserialize)]
-struct List {
-    rigs: Vec<CloudMachine>,
-    #[serde(default)]
-    more: bool,
-}
-
 impl CloudClient {
-    /// A client that stays below `rps` requests a second.
+    /// A client that stays below a rate limit of `rps` requests per second.
     pub fn new(pool: Pool, clock: MonotonicClock, rps: f64) -> Self {
-        // Only the leader calls regularly; the others' few calls at their start
-        // fit into what is left.
+        let bucket = TokenBucket::new(rps * LEADER_RATE_SHARE, clock.now());
         CloudClient {
             pool,
-            bucket: RefCell::new(TokenBucket::new(rps * 0.75, clock.now())),
+            bucket: RefCell::new(bucket),
             clock,
         }
     }
 
-    /// Asks once, as soon as the limit allows.
+    /// Carries a request out once, as soon as the rate limit allows. A response that says
+    /// nothing of the request, or none, is [`CloudReply::Indeterminate`].
     pub async fn execute(&self, request: &CloudRequest) -> CloudReply {
-        match request {
-            CloudRequest::MachineTypes => match self.send(http_request(request)).await {
-                Some((200, b)) => read(&b)
-                    .map_or(CloudReply::Indeterminate, |t: MachineTypesPage| {
-                        CloudReply::MachineTypes(t.machine_types)
-                    }),
-                _ => CloudReply::Indeterminate,
-            },
-            CloudRequest::Machines => self
-                .list()
-                .await
-                .map_or(CloudReply::Indeterminate, CloudReply::Machines),
-            CloudRequest::ScaleOut(..) => {
-                match self.send(http_request(request)).await {
-                    Some((200, b)) => read(&b).map_or(CloudReply::Indeterminate, |r: Rented| {
-                        CloudReply::Rented(r.rigs)
-                    }),
-                    Some((503, b)) if contains(&b, b"no capacity") => CloudReply::NoCapacity,
-                    // Malformed: it was not carried out and never will be.
-                    Some((400, _)) => CloudReply::NoCapacity,
-                    _ => CloudReply::Indeterminate,
-                }
-            }
-            CloudRequest::Release(_) => match self.send(http_request(request)).await {
-                Some((200, _)) => CloudReply::Released,
-                _ => CloudReply::Indeterminate,
-            },
-        }
+        self.request(request).await.unwrap_or_else(failure_reply)
     }
 
-    async fn list(&self) -> Option<Vec<CloudMachine>> {
-        let mut all: Vec<CloudMachine> = Vec::new();
-        loop {
-            let last = all.last().map(|machine| &machine.id);
-            let (status, body) = self.send(list_request(last)).await?;
-            let page: List = if status == 200 {
-                read(&body)?
-            } else {
-                return None;
-            };
-            let more = page.more && !page.rigs.is_empty();
-            all.extend(page.rigs);
-            if !more {
-                return Some(all);
+    async fn request(&self, request: &CloudRequest) -> Result<CloudReply, ResponseError> {
+        let send = || self.send(http_request(request));
+        match request {
+            CloudRequest::MachineTypes => {
+                wire::machine_types(&send().await?).map(CloudReply::MachineTypes)
+            }
+            CloudRequest::Machines => self.list_machines().await.map(CloudReply::Machines),
+            CloudRequest::ScaleOut { .. } => {
+                wire::scaled_out(&send().await?).map(CloudReply::ScaledOut)
+            }
+            CloudRequest::Release(_) => {
+                wire::released(&send().await?).map(|()| CloudReply::Released)
             }
         }
     }
 
-    async fn send(&self, request: HttpRequest) -> Option<(u16, bytes::Bytes)> {
+    /// The whole list of instances, page by page.
+    async fn list_machines(&self) -> Result<Vec<CloudMachine>, ResponseError> {
+        let mut machines: Vec<CloudMachine> = Vec::new();
         loop {
-            if self.bucket.borrow_mut().take(self.clock.now(), 1.0, 0.0) {
-                break;
+            let last = machines.last().map(|machine| &machine.id);
+            let response = self.send(wire::list_request(last)).await?;
+            let page = wire::machines_page(&response)?;
+            let is_last = !page.has_more || page.machines.is_empty();
+            machines.extend(page.machines);
+            if is_last {
+                return Ok(machines);
             }
-            tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        self.pool.send(&request, DEADLINE).await.ok()
     }
-}
 
-/// The request as the cloud's interface has it; of a list, its first page.
-pub(crate) fn http_request(request: &CloudRequest) -> HttpRequest {
-    match request {
-        CloudRequest::MachineTypes => HttpRequest::get("/machine_types".into()),
-        CloudRequest::Machines => list_request(None),
-        CloudRequest::ScaleOut(name, rental) => {
-            let body = json!({"hire": name, "build": rental.machine_type, "yard": rental.zone,
-                              "loaners": rental.spot, "howMany": rental.count});
-            HttpRequest::post("/machines".into(), body)
+    async fn send(&self, request: HttpRequest) -> Result<HttpResponse, ResponseError> {
+        while !self.bucket.borrow_mut().take(self.clock.now(), 1.0, 0.0) {
+            tokio::time::sleep(RATE_LIMIT_RETRY_INTERVAL).await;
         }
-        CloudRequest::Release(ids) => {
-            HttpRequest::post("/machines/return".into(), json!({"rigs": ids}))
+        match self.pool.send(&request, REQUEST_TIMEOUT).await {
+            Ok((status, body)) => Ok(HttpResponse { status, body }),
+            Err(_) => Err(ResponseError::NoResponse),
         }
     }
 }
 
-/// The page of the machines' list after this one.
-fn list_request(last: Option<&MachineId>) -> HttpRequest {
-    let since = last.map_or(String::new(), |id| format!("since={id}&"));
-    HttpRequest::get(format!("/machines?{since}most={PAGE}"))
-}
-
-fn read<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Option<T> {
-    serde_json::from_slice(body).ok()
-}
-
-fn contains(body: &[u8], what: &[u8]) -> bool {
-    body.windows(what.len()).any(|w| w == what)
+/// The reply to a request whose response brings nothing.
+fn failure_reply(error: ResponseError) -> CloudReply {
+    match error {
+        ResponseError::NoCapacity => CloudReply::NoCapacity,
+        ResponseError::NoResponse | ResponseError::Status(_) | ResponseError::Malformed(_) => {
+            CloudReply::Indeterminate
+        }
+    }
 }
 
 #[cfg(test)]
--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -11,9 +11,9 @@
 
 use crate::api::ports::{ApiView, HeartbeatAnswer};
 use crate::api::read_index::{self, ReadIndex};
-use crate::autoscaler::{self, Autoscaler, MachineTypes};
+use crate::autoscaler::{self, Autoscaler};
 use crate::clock::Micros;
-use crate::cloud::{CloudReply, CloudRequest};
+use crate::cloud::{CloudReply, CloudRequest, MachineTypes};
 use crate::controller::messages::{DirectAnswer, Effect, Input, StoreOperation};
 use crate::fairness::Resources;
 use crate::ids::{JobId, Label, PartitionId, Revision, Term};
--- a/src/controller/tests/world.rs
+++ b/src/controller/tests/world.rs
@@ -625,13 +625,16 @@
                         .collect(),
                 )
             }
-            CloudRequest::ScaleOut(..) if !self.renting => CloudReply::NoCapacity,
-            CloudRequest::ScaleOut(_, rental)
+            CloudRequest::ScaleOut { .. } if !self.renting => CloudReply::NoCapacity,
+            CloudRequest::ScaleOut { record: rental, .. }
                 if self.no_capacity.contains(rental.zone.as_str()) =>
             {
                 CloudReply::NoCapacity
             }
-            CloudRequest::ScaleOut(name, rental) => {
+            CloudRequest::ScaleOut {
+                name,
+                record: rental,
+            } => {
                 let now = self.now;
                 let machine_type = if rental.machine_type == "big" {
                     "big"
@@ -659,7 +662,7 @@
                     workers.extend((first..first + count).map(new));
                     workers[first..].iter().map(|w| w.id.clone()).collect()
                 });
-                CloudReply::Rented(ids.clone())
+                CloudReply::ScaledOut(ids.clone())
             }
             CloudRequest::Release(ids) => {
                 self.returned.extend(ids.iter().cloned());
