--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -1,367 +1,229 @@
-//! The leader's dealings with the cloud: what to rent, what to return, and
-//! which partition each machine goes to.
-
-mod recording;
-mod release;
+//! The leader's autoscaler: which instances to scale out, which machines to release, and which
+//! partition each machine is recorded in.
+//!
+//! It owns the requests to the cloud and the writes of machines' shards and scale-out records.
+//! It decides by a [`FleetSnapshot`] alone and returns [`Effect`]s; it never does I/O and reads
+//! no clock. All of its writes name the leader's key, so none is carried out once another
+//! controller leads. What it knows lives only as long as one leadership; what must outlive it
+//! is in the store.
+
+mod instance_list;
+mod offers;
+mod partition_balancer;
+mod pending_capacity;
+mod releases;
 mod scale_out;
-mod shards;
+mod scale_outs;
+mod shard_transaction;
+mod shard_update;
+mod shard_writes;
 
 use crate::clock::Micros;
-use crate::cloud::{
-    CloudMachine, CloudReply, CloudRequest, InstanceState, MachineType, ScaleOutRecord,
-};
-use crate::fairness::Resources;
-use crate::ids::{MachineId, PartitionId, Revision};
+use crate::cloud::{CloudReply, CloudRequest, MachineType, ScaleOutRecord};
+use crate::ids::{PartitionId, Revision};
 use crate::mesh::PartitionState;
-use crate::partitions::ReleaseReason;
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::store::{Compare, Mutation, Reply};
 use crate::watch_cache::WatchCache;
-use std::collections::{BTreeMap, BTreeSet};
+use instance_list::InstanceList;
+use releases::Releases;
+use scale_outs::ScaleOuts;
+use shard_writes::{ShardWrites, WriteLimits};
+use std::collections::BTreeMap;
 use zone_failover::leader::ScaleOutAccess;
 
-/// A leader's write, as it comes back with its answer.
+/// How often the autoscaler decides.
+const STEP_INTERVAL: Micros = Micros::from_millis(150);
+
+/// How often all machines are scanned for those to release, move or adopt.
+const SCAN_INTERVAL: Micros = Micros::from_millis(800);
+
+/// How old an owner's report of its partition may be to be decided by.
+const PARTITION_STATE_MAX_AGE: Micros = Micros::from_millis(4_000);
+
+/// A write of the autoscaler, as it comes back with the store's reply.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Write {
-    /// Machines' keys; the rentals that it settles.
-    Machines {
-        /// The rentals whose machines are all recorded with it.
-        settled: Vec<String>,
+    /// Machines' shards.
+    RecordMachines {
+        /// The scale-outs whose machines are all recorded with it.
+        completed_scale_outs: Vec<String>,
     },
-    /// Makes an earlier write of machines fail, should it still be on its way.
+    /// Makes an earlier write of machines fail, should it still be under way.
     Fence,
     /// A shard is recorded in parts.
-    Split,
-    /// A rental that is about to be asked for.
-    ScaleOut {
-        /// The rental's name.
+    SplitShard,
+    /// A scale-out, before the cloud gets the request.
+    RecordScaleOut {
+        /// The name that the cloud knows the scale-out by.
         name: String,
-        /// What is to be rented.
-        rental: ScaleOutRecord,
+        /// What is to be scaled out.
+        record: ScaleOutRecord,
     },
-    /// A rental that came to nothing.
-    Drop {
-        /// The rental's name.
+    /// The record of a scale-out that the cloud refused goes.
+    DeleteScaleOut {
+        /// The name that the cloud knows the scale-out by.
         name: String,
     },
 }
 
-/// What the manager wants done.
+/// What the autoscaler wants done.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Write to the store.
-    CompareAndSwap(Write, Vec<Compare>, Vec<Mutation>),
-    /// Ask the cloud.
+    /// A write to the store.
+    CompareAndSwap {
+        /// Handed back with the reply.
+        write: Write,
+        /// The conditions.
+        compares: Vec<Compare>,
+        /// The changes.
+        mutations: Vec<Mutation>,
+    },
+    /// A request to the cloud.
     Cloud(CloudRequest),
 }
 
-/// A type, zone and kind that the cloud may or may not have more of.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct InstanceOffer {
-    machine_type: String,
-    zone: String,
-    spot: bool,
-}
-
-#[derive(Debug, Default)]
-struct Backoff {
-    until: Micros,
-    times: u32,
-}
-
-#[derive(Debug)]
-enum ScaleOutState {
-    /// The record's write is out.
-    Recording,
-    /// Recorded: the cloud is to be asked, now or again.
-    Ask(Micros),
-    StatusQuery,
-    Rented(Vec<MachineId>),
-    Refused,
-}
-
-#[derive(Debug)]
-struct PendingCapacity {
-    partition: PartitionId,
-    until: Micros,
-    capacity: Resources,
-    count: u32,
-}
-
-/// What the manager decides by.
+/// What the autoscaler decides by.
 #[derive(Clone, Copy)]
 pub struct FleetSnapshot<'a> {
     /// What was read of the store.
     pub cache: &'a WatchCache,
-    /// That this controller still leads.
+    /// The condition that this controller still leads.
     pub leader: &'a Compare,
     /// The store's revision that the cache has reached.
-    pub seen: Revision,
+    pub applied_revision: Revision,
     /// The machine types.
-    pub types: &'a [MachineType],
-    /// What the partitions' owners tell.
-    pub news: &'a BTreeMap<PartitionId, PartitionState>,
-    /// Whether machines may be rented in a zone.
-    pub access: &'a dyn Fn(&str) -> ScaleOutAccess,
+    pub machine_types: &'a [MachineType],
+    /// What the partitions' owners last reported.
+    pub partition_states: &'a BTreeMap<PartitionId, PartitionState>,
+    /// Whether machines may be scaled out in a zone.
+    pub scale_out_access: &'a dyn Fn(&str) -> ScaleOutAccess,
 }
 
-/// What only lives while this controller leads.
-#[derive(Default)]
-pub struct Autoscaler {
-    txn_ops: usize,
-    value_bytes: usize,
-    horizon: Micros,
-    stepped: Micros,
-    scanned: Micros,
-    /// The leadership that this state belongs to, by the leader key's revision.
-    leader_revision: Revision,
-    counter: u64,
-    list: BTreeMap<MachineId, CloudMachine>,
-    listing: bool,
-    listed_at: Micros,
-    rentals: BTreeMap<String, (ScaleOutRecord, ScaleOutState)>,
-    backoff: BTreeMap<InstanceOffer, Backoff>,
-    /// Being returned: when to ask (again), or that the cloud has confirmed it.
-    returning: BTreeMap<MachineId, Option<Micros>>,
-    /// Of them, those that are silent, as their owner says.
-    silent: BTreeSet<MachineId>,
-    return_out: Vec<MachineId>,
-    returned: BTreeSet<MachineId>,
-    /// Listed before, and missing from so many lists since.
-    missing: BTreeMap<MachineId, u32>,
-    /// Listed, but recorded nowhere.
-    strange: BTreeSet<MachineId>,
-    /// Given up by an owner, for another partition.
-    moves: BTreeSet<MachineId>,
-    writing: bool,
-    /// A write of machines had no answer: it may still be carried out.
-    unfenced: bool,
-    /// The cache must have caught up with this before the next write.
-    wait_for: Revision,
-    last_split: Micros,
-    /// Requests that lacked room lately.
-    shapes: Vec<(Resources, Micros)>,
-    /// Room that reports don't show yet, by the rental that brings it.
-    credits: BTreeMap<String, PendingCapacity>,
+impl<'a> FleetSnapshot<'a> {
+    fn machine_type(&self, name: &str) -> Option<&'a MachineType> {
+        self.machine_types
+            .iter()
+            .find(|machine_type| machine_type.name == name)
+    }
 }
 
-const LIST_EVERY: Micros = Micros::from_millis(3_000);
-const CREDIT: Micros = Micros::from_millis(3_000);
-const STEP_EVERY: Micros = Micros::from_millis(150);
-const SCAN_EVERY: Micros = Micros::from_millis(800);
+/// The autoscaler of a controller. It acts only while the controller leads.
+pub struct Autoscaler {
+    limits: WriteLimits,
+    last_step_at: Micros,
+    last_scan_at: Micros,
+    instances: InstanceList,
+    scale_outs: ScaleOuts,
+    releases: Releases,
+    shard_writes: ShardWrites,
+}
 
 impl Autoscaler {
-    /// A manager that does not lead yet.
+    /// An autoscaler before its first leadership.
     pub fn new(settings: &Settings, policy: &Policy) -> Self {
+        let limits = WriteLimits {
+            max_mutations: settings.max_mutations(),
+            max_value_bytes: settings.platform.state.lowest_value_bytes(),
+        };
+        Autoscaler::at_start(limits, ScaleOuts::new(policy.rent_horizon))
+    }
+
+    fn at_start(limits: WriteLimits, scale_outs: ScaleOuts) -> Self {
         Autoscaler {
-            txn_ops: settings.max_mutations(),
-            value_bytes: settings.platform.state.lowest_value_bytes(),
-            horizon: policy.rent_horizon,
-            ..Autoscaler::default()
+            limits,
+            last_step_at: Micros::ZERO,
+            last_scan_at: Micros::ZERO,
+            instances: InstanceList::default(),
+            scale_outs,
+            releases: Releases::default(),
+            shard_writes: ShardWrites::new(limits),
         }
     }
 
-    /// One look at everything. Called often; does little when nothing is due.
+    /// Decides what is to be done now. Called often; does little when nothing is due.
     pub fn step(&mut self, now: Micros, fleet: &FleetSnapshot<'_>) -> Vec<Effect> {
-        let FleetSnapshot {
-            cache,
-            leader,
-            seen,
-            types,
-            news,
-            ..
-        } = *fleet;
-        if self.leader_revision != leader.revision {
-            // What an earlier leadership knew is stale; answers still out are dropped by
-            // their names. Its rentals are in the store.
-            *self = Autoscaler {
-                txn_ops: self.txn_ops,
-                value_bytes: self.value_bytes,
-                horizon: self.horizon,
-                leader_revision: leader.revision,
-                counter: self.counter,
-                ..Autoscaler::default()
-            };
+        let leader_revision = fleet.leader.revision;
+        if self.scale_outs.leader_revision() != leader_revision {
+            // What an earlier leadership knew is stale; replies under way are dropped by their
+            // names. Its scale-outs are in the store.
+            let scale_outs = self.scale_outs.under_leadership(leader_revision);
+            *self = Autoscaler::at_start(self.limits, scale_outs);
         }
-        let mut out = Vec::new();
-        if now.since(self.stepped) < STEP_EVERY {
-            return out;
+        let mut effects = Vec::new();
+        if now.since(self.last_step_at) < STEP_INTERVAL {
+            return effects;
         }
-        self.stepped = now;
-        if seen >= self.wait_for {
-            // Before that the cache may show rentals that are settled.
-            self.adopt_rentals(now, cache);
+        self.last_step_at = now;
+        if self.shard_writes.are_visible_at(fleet.applied_revision) {
+            // Before that the cache may show scale-outs that are completed.
+            self.scale_outs.adopt_recorded(now, fleet.cache);
         }
-        if !self.listing && now.since(self.listed_at) >= LIST_EVERY {
-            self.listing = true;
-            self.listed_at = now;
-            out.push(Effect::Cloud(CloudRequest::Machines));
+        effects.extend(self.instances.next_request(now).map(Effect::Cloud));
+        if now.since(self.last_scan_at) >= SCAN_INTERVAL {
+            self.last_scan_at = now;
+            self.releases.scan(now, fleet, &self.instances);
+            self.shard_writes
+                .scan(fleet.cache, &self.instances, &self.scale_outs);
         }
-        if now.since(self.scanned) >= SCAN_EVERY {
-            self.scanned = now;
-            self.find_returns(now, cache, types, news);
-            self.find_moves(cache);
+        effects.extend(self.releases.next_request(now).map(Effect::Cloud));
+        effects.extend(self.shard_writes.next_write(
+            now,
+            fleet,
+            &self.instances,
+            &self.scale_outs,
+            &self.releases,
+        ));
+        self.scale_outs.advance(now, fleet, &mut effects);
+        self.scale_outs
+            .note_capacity_requests(now, fleet.partition_states);
+        if !self.instances.is_first_requested_at(now) {
+            self.scale_outs.request_capacity(now, fleet, &mut effects);
         }
-        self.ask_returns(now, &mut out);
-        if !self.writing && seen >= self.wait_for {
-            if self.unfenced {
-                out.push(self.fence(cache, leader));
-            } else if let Some(split) = self.split_oversize(now, cache, leader) {
-                out.push(split);
-            } else {
-                out.extend(self.change_machines(cache, leader, types, news));
-            }
-        }
-        self.ask_rentals(now, cache, leader, &mut out);
-        self.rent(now, fleet, &mut out);
-        out
+        effects
     }
 
-    /// Hires that an earlier leader recorded are repeated under their names.
-    fn adopt_rentals(&mut self, now: Micros, cache: &WatchCache) {
-        for (name, (_, rec)) in &cache.scale_outs {
-            self.rentals
-                .entry(name.clone())
-                .or_insert_with(|| (rec.clone(), ScaleOutState::Ask(now)));
-        }
-    }
-
-    /// Takes in the cloud's answer.
+    /// Takes in the cloud's reply to a request.
     pub fn handle_cloud_reply(&mut self, now: Micros, request: CloudRequest, reply: CloudReply) {
-        match (request, reply) {
-            (CloudRequest::Machines, reply) => {
-                self.listing = false;
-                if let CloudReply::Machines(list) = reply {
-                    let list = list.into_iter().map(|m| (m.id.clone(), m)).collect();
-                    let before = std::mem::replace(&mut self.list, list);
-                    let list = &self.list;
-                    let left = before.keys().filter(|id| !list.contains_key(*id));
-                    for id in left {
-                        self.missing.entry(id.clone()).or_default();
-                    }
-                    self.missing.retain(|id, _| !list.contains_key(id));
-                    self.missing.values_mut().for_each(|n| *n += 1);
-                    // A list may be older than the one before; what was returned may
-                    // show up again for a while and is not to be adopted.
-                    if self.returned.len() > 2000 {
-                        self.returned.retain(|id| self.list.contains_key(id));
-                    }
-                }
+        match request {
+            CloudRequest::MachineTypes => {}
+            CloudRequest::Machines => self.instances.handle_reply(reply),
+            CloudRequest::ScaleOut { name, record } => {
+                self.scale_outs
+                    .handle_cloud_reply(now, &name, &record, reply);
             }
-            (
-                CloudRequest::ScaleOut {
-                    name,
-                    record: rental,
-                },
-                reply,
-            ) => {
-                let Some((_, state)) = self.rentals.get_mut(&name) else {
-                    return;
-                };
-                let offer = InstanceOffer {
-                    machine_type: rental.machine_type.clone(),
-                    zone: rental.zone.clone(),
-                    spot: rental.spot,
-                };
-                match reply {
-                    CloudReply::ScaledOut(ids) => {
-                        if (ids.len() as u32) < rental.count {
-                            self.backoff.insert(
-                                offer,
-                                Backoff {
-                                    until: now + Micros::from_millis(15_000),
-                                    times: 1,
-                                },
-                            );
-                        } else {
-                            self.backoff.remove(&offer);
-                        }
-                        tracing::info!(%name, got = ids.len(), "rented");
-                        if let Some(c) = self.credits.get_mut(&name) {
-                            c.count = ids.len() as u32;
-                            c.until = now + CREDIT;
-                        }
-                        *state = ScaleOutState::Rented(ids);
-                    }
-                    CloudReply::NoCapacity => {
-                        let b = self.backoff.entry(offer).or_default();
-                        b.times += 1;
-                        b.until = now + Micros::from_millis(5_000 << b.times.min(3));
-                        *state = ScaleOutState::Refused;
-                        self.credits.remove(&name);
-                    }
-                    // It may have been carried out: only the same name may ask again.
-                    _ => *state = ScaleOutState::Ask(now + Micros::from_millis(1_500)),
+            CloudRequest::Release(machines) => {
+                let is_released = reply == CloudReply::Released;
+                self.releases.handle_reply(now, &machines, is_released);
+                if is_released {
+                    self.instances.mark_released(machines);
                 }
             }
-            (CloudRequest::Release(ids), reply) => {
-                self.return_out.clear();
-                for id in ids {
-                    if reply == CloudReply::Released {
-                        self.returning.remove(&id);
-                        self.missing.remove(&id);
-                        self.list.remove(&id);
-                        self.returned.insert(id);
-                    } else if let Some(at) = self.returning.get_mut(&id) {
-                        *at = Some(now + Micros::from_millis(1_000));
-                    }
-                }
-            }
-            (CloudRequest::MachineTypes, _) => {}
         }
     }
 
-    /// Takes in the store's answer to a write.
+    /// Takes in the store's reply to a write.
     pub fn handle_store_reply(&mut self, now: Micros, write: Write, reply: &Reply) {
         match write {
-            Write::Machines { settled } => {
-                self.writing = false;
-                match reply {
-                    Reply::Committed(revision) => {
-                        self.wait_for = *revision;
-                        for name in settled {
-                            self.rentals.remove(&name);
-                        }
-                    }
-                    // Surely not done, and it never will be.
-                    Reply::Conflict(_) | Reply::Rejected => {}
-                    _ => self.unfenced = true,
-                }
-            }
-            Write::Fence => {
-                self.writing = false;
-                if let Reply::Committed(revision) = reply {
-                    self.unfenced = false;
-                    self.wait_for = *revision;
+            Write::RecordMachines {
+                completed_scale_outs,
+            } => {
+                self.shard_writes.handle_machines_reply(reply);
+                if matches!(reply, Reply::Committed(_)) {
+                    self.scale_outs.complete(&completed_scale_outs);
                 }
             }
-            Write::Split => {
-                self.writing = false;
-                if let Reply::Committed(revision) = reply {
-                    self.wait_for = *revision;
-                }
-            }
-            Write::ScaleOut { name, .. } => {
-                let Some((_, state)) = self.rentals.get_mut(&name) else {
-                    return;
-                };
-                match reply {
-                    Reply::Committed(_) => *state = ScaleOutState::Ask(now),
-                    // Nothing was asked of the cloud under this name. Should the record
-                    // still be written, it is found and carried out then.
-                    _ => {
-                        self.rentals.remove(&name);
-                    }
-                }
+            Write::Fence => self.shard_writes.handle_fence_reply(reply),
+            Write::SplitShard => self.shard_writes.handle_split_reply(reply),
+            Write::RecordScaleOut { name, .. } => {
+                self.scale_outs.handle_record_reply(now, &name, reply);
             }
-            Write::Drop { name } => {
+            Write::DeleteScaleOut { name } => {
                 if let Reply::Committed(revision) = reply {
-                    self.wait_for = self.wait_for.max(*revision);
-                    self.rentals.remove(&name);
-                } else if let Some((_, state)) = self.rentals.get_mut(&name) {
-                    *state = ScaleOutState::Refused;
+                    self.shard_writes.wait_for(*revision);
                 }
+                self.scale_outs.handle_delete_reply(&name, reply);
             }
         }
     }
--- /dev/null
+++ b/src/autoscaler/shard_update.rs
@@ -0,0 +1,202 @@
+//! One write of machines' shards, put together step by step: machines that were scaled out are
+//! recorded, those released are removed, unrecorded ones adopted, and moved ones passed on.
+//!
+//! It takes as much as a transaction holds; the rest follows in the next. A crash in between
+//! loses nothing: a scale-out's record goes only with the last of its machines, and a successor
+//! repeats it.
+
+use super::instance_list::InstanceList;
+use super::partition_balancer::PartitionBalancer;
+use super::releases::Releases;
+use super::scale_outs::ScaleOuts;
+use super::shard_transaction::ShardTransaction;
+use super::shard_writes::WriteLimits;
+use super::{Effect, FleetSnapshot, Write};
+use crate::ids::{MachineId, PartitionId, Term};
+use crate::leader::take_terms;
+use crate::partitions::{MachineRecord, ReleaseReason};
+use crate::store::{self, Compare, Mutation, compare, keys};
+use crate::watch_cache::WatchCache;
+use std::collections::BTreeSet;
+
+/// The next term, and the write that takes it.
+struct TermGrant {
+    term: Term,
+    compare: Compare,
+    mutation: Mutation,
+}
+
+/// A write of shards that is being put together.
+pub(super) struct ShardUpdate<'a> {
+    cache: &'a WatchCache,
+    leader: &'a Compare,
+    shards: ShardTransaction<'a>,
+    balancer: PartitionBalancer<'a>,
+    /// Gets what belongs to no known partition.
+    fallback_partition: PartitionId,
+    completed_scale_outs: Vec<String>,
+    grant: TermGrant,
+    /// Whether a moved machine was recorded under the new term.
+    is_term_used: bool,
+}
+
+impl<'a> ShardUpdate<'a> {
+    /// An empty update; nothing as long as there are no partitions.
+    pub(super) fn new(fleet: &FleetSnapshot<'a>, limits: WriteLimits) -> Option<Self> {
+        let fallback_partition = *fleet.cache.partition_owners.keys().next()?;
+        let (term, compare, mutation) = take_terms(fleet.cache, 1);
+        Some(ShardUpdate {
+            cache: fleet.cache,
+            leader: fleet.leader,
+            shards: ShardTransaction::new(fleet.cache, limits),
+            balancer: PartitionBalancer::new(fleet),
+            fallback_partition,
+            completed_scale_outs: Vec::new(),
+            grant: TermGrant {
+                term,
+                compare,
+                mutation,
+            },
+            is_term_used: false,
+        })
+    }
+
+    /// The mutations beside those of shards: the deletions of completed scale-outs' records.
+    fn other_mutations(&self) -> usize {
+        self.completed_scale_outs.len()
+    }
+
+    /// Records the machines that were scaled out in the partitions that they are for.
+    pub(super) fn add_scaled_out(&mut self, scale_outs: &ScaleOuts) {
+        for scale_out in scale_outs.completed() {
+            // With the deletion of this scale-out's record.
+            let other_mutations = self.other_mutations() + 1;
+            if self.shards.is_full(other_mutations) {
+                break;
+            }
+            let record = scale_out.record;
+            let has_partition = self.cache.partition_owners.contains_key(&record.partition);
+            let partition = if has_partition {
+                record.partition
+            } else {
+                self.fallback_partition
+            };
+            let (machine_type, zone) = (&record.machine_type, &record.zone);
+            let blank = MachineRecord::blank(String::new(), machine_type, zone, record.spot);
+            let mut unrecorded = scale_out
+                .machines
+                .iter()
+                .filter(|id| self.cache.machine(id).is_none());
+            let shards = &mut self.shards;
+            if unrecorded.all(|id| shards.insert(partition, id, blank.clone(), other_mutations)) {
+                self.completed_scale_outs.push(scale_out.name.clone());
+            }
+        }
+    }
+
+    /// Removes machines whose release the cloud has confirmed.
+    pub(super) fn remove_released(&mut self, instances: &InstanceList) {
+        let other_mutations = self.other_mutations();
+        for id in instances.released() {
+            if let Some((shard, _)) = self.cache.machine(id) {
+                self.shards.remove(shard, id, other_mutations);
+            }
+        }
+    }
+
+    /// Adopts machines that no scale-out expects: of a late one, or there from the start.
+    pub(super) fn adopt(
+        &mut self,
+        unrecorded: &BTreeSet<MachineId>,
+        instances: &InstanceList,
+        releases: &Releases,
+    ) {
+        let other_mutations = self.other_mutations();
+        for id in unrecorded {
+            let Some(instance) = instances.get(id) else {
+                continue;
+            };
+            let is_recorded = self.cache.machine(id).is_some();
+            if is_recorded || instances.is_released(id) || releases.contains(id) {
+                continue;
+            }
+            let (machine_type, zone) = (&instance.machine_type, &instance.zone);
+            let partition = self.assign(machine_type, zone, instance.spot, self.fallback_partition);
+            let addr = instance.addr.clone().unwrap_or_default();
+            let machine = MachineRecord::blank(addr, machine_type, zone, instance.spot);
+            if !self.shards.insert(partition, id, machine, other_mutations) {
+                break;
+            }
+            tracing::debug!(machine = %id, %partition, "machine adopted");
+        }
+    }
+
+    /// Moves machines that their owners released for other partitions: to where they are
+    /// lacking, or back.
+    pub(super) fn move_machines(&mut self, moves: &BTreeSet<MachineId>, releases: &Releases) {
+        let other_mutations = self.other_mutations();
+        for id in moves {
+            let Some((shard, machine)) = self.cache.machine(id) else {
+                continue;
+            };
+            if machine.release_reason != Some(ReleaseReason::Move) || releases.contains(id) {
+                continue;
+            }
+            let from = shard.0;
+            let to = self.assign(&machine.machine_type, &machine.zone, machine.spot, from);
+            let mut machine = machine.clone();
+            machine.release_reason = None;
+            // A term higher than any that an owner of it has used.
+            machine.term = self.grant.term;
+            // Up to two shards beside the term's key.
+            if self.shards.is_full(other_mutations + 3)
+                || !self.shards.remove(shard, id, other_mutations + 2)
+            {
+                break;
+            }
+            self.shards.insert(to, id, machine, other_mutations + 1);
+            self.is_term_used = true;
+            tracing::info!(machine = %id, %from, partition = %to, "machine moved");
+        }
+    }
+
+    /// The partition that gets a machine, or `otherwise` if its type is unknown.
+    fn assign(
+        &mut self,
+        machine_type: &str,
+        zone: &str,
+        spot: bool,
+        otherwise: PartitionId,
+    ) -> PartitionId {
+        let partition = self.balancer.assign(machine_type, zone, spot);
+        partition.unwrap_or(otherwise)
+    }
+
+    /// The write; nothing if it would change nothing.
+    pub(super) fn into_effect(self) -> Option<Effect> {
+        let mut compares = vec![self.leader.clone(), self.grant.compare];
+        let mut mutations: Vec<Mutation> = self
+            .completed_scale_outs
+            .iter()
+            .map(|name| store::delete(keys::scale_out(name)))
+            .collect();
+        for (shard, machines) in self.shards.into_shards() {
+            let key = keys::shard(shard.0, shard.1);
+            compares.push(compare(key.clone(), self.cache.shard_revision(shard)));
+            mutations.push(store::put(key, &machines));
+        }
+        if mutations.is_empty() {
+            return None;
+        }
+        if self.is_term_used {
+            mutations.push(self.grant.mutation);
+        }
+        Some(Effect::CompareAndSwap {
+            write: Write::RecordMachines {
+                completed_scale_outs: self.completed_scale_outs,
+            },
+            compares,
+            mutations,
+        })
+    }
+}
--- a/src/controller/core/leading.rs
+++ b/src/controller/core/leading.rs
@@ -167,26 +167,28 @@
             let fleet = FleetSnapshot {
                 cache: &self.cache,
                 leader: &leader_cond,
-                seen: self.seen,
-                types: &types,
-                news: &news,
-                access: &access,
+                applied_revision: self.seen,
+                machine_types: &types,
+                partition_states: &news,
+                scale_out_access: &access,
             };
             let effects = self.manager.step(now, &fleet);
             self.note_probes(now, &effects);
             for e in effects {
                 out.push(match e {
                     autoscaler::Effect::Cloud(request) => Effect::Cloud(request),
-                    autoscaler::Effect::CompareAndSwap(write, compares, mutations) => {
-                        Effect::StoreRequest {
-                            operation: StoreOperation::Autoscaler(leader_revision, write),
-                            request: Request::CompareAndSwap {
-                                compares,
-                                mutations,
-                            },
-                            priority: RequestPriority::Normal,
-                        }
-                    }
+                    autoscaler::Effect::CompareAndSwap {
+                        write,
+                        compares,
+                        mutations,
+                    } => Effect::StoreRequest {
+                        operation: StoreOperation::Autoscaler(leader_revision, write),
+                        request: Request::CompareAndSwap {
+                            compares,
+                            mutations,
+                        },
+                        priority: RequestPriority::Normal,
+                    },
                 });
             }
         }
--- a/src/controller/core/zones.rs
+++ b/src/controller/core/zones.rs
@@ -107,12 +107,12 @@
             return;
         };
         for effect in effects {
-            if let autoscaler::Effect::CompareAndSwap(
-                autoscaler::Write::ScaleOut { rental, .. },
-                ..,
-            ) = effect
+            if let autoscaler::Effect::CompareAndSwap {
+                write: autoscaler::Write::RecordScaleOut { record, .. },
+                ..
+            } = effect
             {
-                zones.probed(now, &rental.zone);
+                zones.probed(now, &record.zone);
             }
         }
     }
