--- a/src/controller/core/autoscaling.rs
+++ b/src/controller/core/autoscaling.rs
@@ -26,10 +26,10 @@
         let fleet = FleetSnapshot {
             cache: self.store.cache(),
             leader,
-            seen: self.store.applied_revision(),
-            types,
-            news: &partition_states,
-            access: &scale_out_access,
+            applied_revision: self.store.applied_revision(),
+            machine_types: types,
+            partition_states: &partition_states,
+            scale_out_access: &scale_out_access,
         };
         let effects = self.leader_state.autoscaler.step(now, &fleet);
         self.note_zone_probes(now, &effects);
@@ -64,7 +64,11 @@
 fn autoscaler_effect(leader_revision: Revision, effect: autoscaler::Effect) -> Effect {
     match effect {
         autoscaler::Effect::Cloud(request) => Effect::Cloud(request),
-        autoscaler::Effect::CompareAndSwap(write, compares, mutations) => Effect::StoreRequest {
+        autoscaler::Effect::CompareAndSwap {
+            write,
+            compares,
+            mutations,
+        } => Effect::StoreRequest {
             operation: StoreOperation::AutoscalerWrite {
                 leader_revision,
                 write,
--- a/src/controller/core/machine_types.rs
+++ b/src/controller/core/machine_types.rs
@@ -5,9 +5,8 @@
 
 use super::Core;
 use super::in_flight::RequestKind;
-use crate::autoscaler::MachineTypes;
 use crate::clock::Micros;
-use crate::cloud::{CloudReply, CloudRequest, MachineType};
+use crate::cloud::{CloudReply, CloudRequest, MachineType, MachineTypes};
 use crate::controller::messages::{Effect, StoreOperation};
 use crate::fairness::Resources;
 use crate::ids::Revision;
--- a/src/controller/core/zones.rs
+++ b/src/controller/core/zones.rs
@@ -143,12 +143,12 @@
             return;
         };
         for effect in effects {
-            if let autoscaler::Effect::CompareAndSwap(
-                autoscaler::Write::ScaleOut { rental, .. },
-                ..,
-            ) = effect
+            if let autoscaler::Effect::CompareAndSwap {
+                write: autoscaler::Write::RecordScaleOut { record, .. },
+                ..
+            } = effect
             {
-                zones.record_probe(now, &rental.zone);
+                zones.record_probe(now, &record.zone);
             }
         }
     }
--- a/src/controller/tests/simulation/cloud.rs
+++ b/src/controller/tests/simulation/cloud.rs
@@ -99,7 +99,10 @@
                         .collect(),
                 )
             }
-            CloudRequest::ScaleOut(name, order) => {
+            CloudRequest::ScaleOut {
+                name,
+                record: order,
+            } => {
                 let has_capacity = self.cloud.has_capacity
                     && !self
                         .cloud
@@ -108,7 +111,7 @@
                 if !has_capacity {
                     return CloudReply::NoCapacity;
                 }
-                CloudReply::Rented(self.scale_out(name, order))
+                CloudReply::ScaledOut(self.scale_out(name, order))
             }
             CloudRequest::Release(machines) => {
                 self.cloud.released.extend(machines.iter().cloned());
