--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -184,7 +184,7 @@
     pub fn machines_compared(&self) -> usize {
         let partitions = self.partitions.values();
         partitions
-            .map(|partition| partition.machines_compared)
+            .map(|partition| partition.machines_compared())
             .sum()
     }
 }
--- a/src/controller/core/gossip.rs
+++ b/src/controller/core/gossip.rs
@@ -69,7 +69,7 @@
         let fleet = self.machine_types.fleet_capacity();
         let requests = self.partitions.values().map(|partition| {
             let requests = partition.capacity_requests(now, wall_clock, fleet);
-            (partition.id, requests)
+            (partition.id(), requests)
         });
         self.gossip.capacity_requests = requests.collect();
     }
@@ -89,12 +89,12 @@
         let newest = self.newest_partition_states(now);
         let send_before = self.may_act_until();
         for partition in self.partitions.values_mut() {
-            let id = partition.id;
+            let id = partition.id();
             let own = self.gossip.capacity_requests(id);
             let others = capacity_requests_of_others(now, id, &newest);
             let cache = self.store.cache();
             if let Some(effect) = partition.release_idle_machines(now, cache, own, &others) {
-                out.push(partition_effect(id, partition.term, send_before, effect));
+                out.push(partition_effect(id, partition.term(), send_before, effect));
             }
         }
     }
@@ -111,9 +111,9 @@
     fn own_partition_states(&self, now: Micros) -> Vec<PartitionState> {
         let state = |partition: &OwnedPartition| PartitionState {
             received_at: now,
-            partition: partition.id,
-            term: partition.term,
-            capacity_requests: self.gossip.capacity_requests(partition.id).to_vec(),
+            partition: partition.id(),
+            term: partition.term(),
+            capacity_requests: self.gossip.capacity_requests(partition.id()).to_vec(),
             releasable_machines: partition.releasable_machines(now),
         };
         self.partitions.values().map(state).collect()
--- a/src/controller/core/owned_partitions.rs
+++ b/src/controller/core/owned_partitions.rs
@@ -54,15 +54,16 @@
 
     /// A partition, if it is owned under this term.
     pub(super) fn in_term(&mut self, id: PartitionId, term: Term) -> Option<&mut OwnedPartition> {
-        self.get_mut(id).filter(|partition| partition.term == term)
+        self.get_mut(id)
+            .filter(|partition| partition.term() == term)
     }
 
     /// Drops the partitions whose term the store does not grant to this controller any more.
     fn drop_lost(&mut self, granted: &BTreeMap<PartitionId, Term>) {
         self.partitions.retain(|id, partition| {
-            let is_granted = granted.get(id) == Some(&partition.term);
+            let is_granted = granted.get(id) == Some(&partition.term());
             if !is_granted {
-                tracing::info!(partition = %id, term = %partition.term, "partition lost");
+                tracing::info!(partition = %id, term = %partition.term(), "partition lost");
             }
             is_granted
         });
--- a/src/controller/core/partition_rebalancing.rs
+++ b/src/controller/core/partition_rebalancing.rs
@@ -83,7 +83,7 @@
         };
         self.partitions.len() >= min_count + MIN_IMBALANCE
             && self.partitions.values().all(|partition| {
-                !partition.is_recovering() && now.since(partition.granted_at) > SETTLING_TIMEOUT
+                !partition.is_recovering() && now.since(partition.granted_at()) > SETTLING_TIMEOUT
             })
             && now.since(self.rebalancing.last_rebalanced_at) > REBALANCE_INTERVAL
     }
@@ -105,7 +105,7 @@
                 reason = "another member owns fewer",
                 "partition hand-back requested"
             );
-            self.hand_back(now, |partition| partition.id == last, out);
+            self.hand_back(now, |partition| partition.id() == last, out);
         }
     }
 
@@ -120,8 +120,8 @@
             if let Some((compares, mutations)) = partition.hand_back(now) {
                 out.push(critical_write(
                     StoreOperation::HandBackPartition {
-                        partition: partition.id,
-                        term: partition.term,
+                        partition: partition.id(),
+                        term: partition.term(),
                     },
                     compares,
                     mutations,
--- a/src/controller/core/periodic_checks.rs
+++ b/src/controller/core/periodic_checks.rs
@@ -65,7 +65,7 @@
             effects.extend(partition.take_writes(now, wall_clock));
             effects.extend(partition.take_ended_job_reads(now));
             effects.extend(partition.record_used_machines(now, cache));
-            let (id, term) = (partition.id, partition.term);
+            let (id, term) = (partition.id(), partition.term());
             let effects = effects.into_iter();
             out.extend(effects.map(|effect| partition_effect(id, term, send_before, effect)));
         }
--- a/src/controller/core/store_reader.rs
+++ b/src/controller/core/store_reader.rs
@@ -149,7 +149,7 @@
             for (job, page) in &changed.progress_pages {
                 partition.reconcile_progress_page(job, *page, cache);
             }
-            let id = partition.id;
+            let id = partition.id();
             let shards = changed.machine_shards.iter();
             for (_, shard) in shards.filter(|(partition, _)| *partition == id) {
                 partition.reconcile_shard(now, *shard, cache, &types, false);
--- /dev/null
+++ b/src/partition_owner/failback.rs
@@ -0,0 +1,233 @@
+//! Failback: tasks that were evacuated from a zone are moved home once it is back and has room,
+//! where that gains more than it costs.
+
+use super::OwnedPartition;
+use crate::clock::Micros;
+use crate::cloud::MachineType;
+use crate::fairness::Resources;
+use crate::ids::{MachineId, ZoneId};
+use crate::jobs::{Job, JobDesc};
+use crate::placement;
+use crate::workers::{Attempt, AttemptKey, AttemptPhase, Machine, Reservation};
+use std::collections::BTreeMap;
+use zone_failover::failback::{self, EvacuatedTask};
+
+/// Room at home is reserved so long for a task that is stopped elsewhere.
+const RESERVATION_TIMEOUT: Micros = Micros::from_millis(20_000);
+/// Stopping and starting once more costs so much besides the checkpoint and fetching the image.
+const RESTART_DURATION_S: f64 = 2.0;
+/// A task that is moved has so much longer to stop than its checkpoint takes.
+const GRACE_PERIOD_MARGIN_S: f64 = 1.0;
+/// A machine whose rate of fetching images is unknown is taken for this slow.
+const MIN_IMAGE_FETCH_GB_PER_S: f64 = 0.01;
+
+/// An attempt with its machine and its job.
+#[derive(Clone, Copy)]
+struct EvacuatedAttempt<'a> {
+    machine_id: &'a MachineId,
+    machine: &'a Machine,
+    key: &'a AttemptKey,
+    attempt: &'a Attempt,
+    job: &'a Job,
+}
+
+/// A task that could be moved home, and where to.
+struct FailbackCandidate {
+    task: EvacuatedTask<(MachineId, AttemptKey)>,
+    target: MachineId,
+}
+
+impl OwnedPartition {
+    /// Stops running tasks elsewhere for which there is room in their zone again.
+    pub(super) fn fail_back(&mut self, now: Micros, wall_clock: Micros) {
+        if !self.checks.begin_failback(now) {
+            return;
+        }
+        let Some(evacuation) = &self.zone_evacuation else {
+            return;
+        };
+        let settings = &evacuation.config.settings.failback;
+        if !settings.move_running || self.is_being_handed_back() || !settings.is_open(wall_clock) {
+            return;
+        }
+        let returned = evacuation.situation.returned.iter();
+        let returned: Vec<ZoneId> = returned
+            .filter(|(_, zone)| wall_clock.since(zone.since) < settings.period)
+            .map(|(id, _)| id.clone())
+            .collect();
+        let candidates = self.failback_candidates(now, &returned);
+        let targets: BTreeMap<AttemptKey, MachineId> = candidates
+            .iter()
+            .map(|candidate| (candidate.task.key.1.clone(), candidate.target.clone()))
+            .collect();
+        let tasks = candidates.into_iter().map(|candidate| candidate.task);
+        let chosen = failback::choose(tasks.collect(), &evacuation.moving(), settings);
+        for (source, key) in chosen {
+            if let Some(target) = targets.get(&key) {
+                self.move_task(now, &source, &key, target);
+            }
+        }
+    }
+
+    /// Evacuated tasks for which there is room at home, each with a machine of its own share
+    /// of that room.
+    fn failback_candidates(&self, now: Micros, returned: &[ZoneId]) -> Vec<FailbackCandidate> {
+        let heartbeat_timeout = self.heartbeat_timeout();
+        let is_back = |machine: &Machine| {
+            let mut zones = returned.iter();
+            zones.any(|zone| zone.as_str() == machine.spec.zone)
+                && placement::accepts_tasks(machine, now, heartbeat_timeout)
+        };
+        let mut room: BTreeMap<&MachineId, Resources> = self
+            .machines
+            .iter()
+            .filter(|(_, machine)| is_back(machine))
+            .map(|(id, machine)| (id, free_room(machine, now)))
+            .collect();
+        let mut candidates = Vec::new();
+        for (machine_id, machine) in &self.machines {
+            for (key, attempt) in &machine.attempts {
+                let Some(job) = self.job_to_move(machine, key, attempt, returned) else {
+                    continue;
+                };
+                let evacuated = EvacuatedAttempt {
+                    machine_id,
+                    machine,
+                    key,
+                    attempt,
+                    job,
+                };
+                let Some(candidate) = self.failback_candidate(now, evacuated, &room) else {
+                    continue;
+                };
+                if let Some(free) = room.get_mut(&candidate.target) {
+                    *free -= job.desc.request();
+                }
+                candidates.push(candidate);
+            }
+        }
+        candidates
+    }
+
+    /// The job of an attempt that is away from its zone, if that is back and the attempt may be
+    /// moved.
+    fn job_to_move(
+        &self,
+        machine: &Machine,
+        key: &AttemptKey,
+        attempt: &Attempt,
+        returned: &[ZoneId],
+    ) -> Option<&Job> {
+        let evacuation = self.zone_evacuation.as_ref()?;
+        let home = evacuation.displaced_from(&key.task.job)?;
+        if !returned.contains(home) || machine.spec.zone == home.as_str() {
+            return None;
+        }
+        let job = self.jobs.get(&key.task.job)?;
+        may_be_moved(job, attempt).then_some(job)
+    }
+
+    /// Where an attempt could be moved home to, and what that gains and costs.
+    fn failback_candidate(
+        &self,
+        now: Micros,
+        evacuated: EvacuatedAttempt<'_>,
+        room: &BTreeMap<&MachineId, Resources>,
+    ) -> Option<FailbackCandidate> {
+        let EvacuatedAttempt { attempt, job, .. } = evacuated;
+        let desc = &job.desc;
+        let is_allowed = |id: &MachineId| {
+            self.machines.get(id).is_some_and(|machine| {
+                desc.allows(
+                    &machine.spec.machine_type,
+                    &machine.spec.zone,
+                    machine.spec.spot,
+                )
+            })
+        };
+        let fits =
+            |id: &MachineId, free: &Resources| desc.request().fits_in(free) && is_allowed(id);
+        let (target_id, _) = room.iter().find(|(id, free)| fits(id, free))?;
+        let target = self.machines.get(*target_id)?;
+        let ran_s = attempt
+            .running_since
+            .map_or(0.0, |since| now.since(since).as_secs());
+        let price_here = self.hourly_price(evacuated.machine, desc)?;
+        let price_at_home = self.hourly_price(target, desc)?;
+        let remaining_s = (desc.estimated_run_time_s - ran_s).max(0.0);
+        let fetch_s = desc.image_gb
+            / target
+                .spec
+                .image_fetch_gb_per_s
+                .max(MIN_IMAGE_FETCH_GB_PER_S);
+        let repeated_s = desc.checkpoint_duration_s + RESTART_DURATION_S + fetch_s;
+        let task = EvacuatedTask {
+            key: (evacuated.machine_id.clone(), evacuated.key.clone()),
+            team: job.team,
+            begun: attempt.running_since.is_some(),
+            saves: desc.checkpoint_interval_s > 0.0,
+            gain: (price_here - price_at_home) * remaining_s,
+            loss: price_at_home * repeated_s,
+        };
+        let target = (*target_id).clone();
+        Some(FailbackCandidate { task, target })
+    }
+
+    /// What a task's share of a machine costs in an hour.
+    fn hourly_price(&self, machine: &Machine, desc: &JobDesc) -> Option<f64> {
+        let is_its_type = |candidate: &&MachineType| candidate.name == machine.spec.machine_type;
+        let machine_type = self.machine_types.iter().find(is_its_type)?;
+        let price = if machine.spec.spot {
+            machine_type.spot_price
+        } else {
+            machine_type.price
+        };
+        Some(price * desc.request().share_of(&machine.spec.capacity))
+    }
+
+    fn move_task(&mut self, now: Micros, source: &MachineId, key: &AttemptKey, target: &MachineId) {
+        let Some(job) = self.jobs.get(&key.task.job) else {
+            return;
+        };
+        let team = job.team;
+        let grace_period_s = job.desc.checkpoint_duration_s + GRACE_PERIOD_MARGIN_S;
+        let reservation = Reservation {
+            job: key.task.job.clone(),
+            request: job.desc.request(),
+            count: 1,
+            until: now + RESERVATION_TIMEOUT,
+        };
+        let Some(machine) = self.machines.get_mut(source) else {
+            return;
+        };
+        machine.stop(grace_period_s, |other| other == key);
+        self.direct_commands.request(source);
+        if let Some(machine) = self.machines.get_mut(target) {
+            machine.reservations.add(reservation);
+        }
+        if let Some(evacuation) = &mut self.zone_evacuation {
+            evacuation.moves(now, key.clone(), team);
+        }
+        tracing::info!(partition = %self.id(), job = %key.task.job, task = %key.task, attempt = %key.attempt, machine = %source, %target, "task failback started");
+    }
+}
+
+/// What is free on a machine, and kept for no job that others were stopped for.
+fn free_room(machine: &Machine, now: Micros) -> Resources {
+    let mut reserved = Resources::default();
+    for reservation in machine.reservations.active(now) {
+        reserved += reservation.resources();
+    }
+    machine.spec.capacity - machine.load.summed - reserved
+}
+
+/// Whether an attempt may be stopped to be started elsewhere: jobs whose tasks are bound to
+/// each other's zones stay together.
+fn may_be_moved(job: &Job, attempt: &Attempt) -> bool {
+    !job.desc.single_zone
+        && !job.desc.anti_affinity
+        && !job.ended
+        && !attempt.is_stopping()
+        && !attempt.is_abandoned()
+        && matches!(attempt.phase, AttemptPhase::Pulling | AttemptPhase::Running)
+}
--- /dev/null
+++ b/src/partition_owner/periodic_checks.rs
@@ -0,0 +1,158 @@
+//! What changes by time alone: leases that expire, machines that should be probed, and those
+//! that the cloud is about to take back.
+
+use super::OwnedPartition;
+use super::machine_health::SILENCE_INTERVALS;
+use crate::clock::Micros;
+use crate::fairness::Resources;
+use crate::ids::{JobId, MachineId};
+use crate::jobs::Job;
+use crate::workers::{Attempt, AttemptKey, AttemptPhase, Machine};
+
+/// What does not depend on messages is checked this often.
+const CHECK_INTERVAL: Micros = Micros::from_millis(500);
+/// Between two attempts at failback.
+const FAILBACK_INTERVAL: Micros = Micros::from_millis(5_000);
+/// Machines of a failover send heartbeats by themselves; those that have not by then are sent
+/// the fencing token.
+const TOKEN_COMMAND_DELAY: Micros = Micros::from_millis(2_500);
+/// A checkpoint takes as long as the job says; commands and heartbeats take this much more.
+const PREEMPTION_NOTICE_MARGIN_S: f64 = 3.0;
+
+/// When what time alone changes was checked last.
+pub(super) struct PeriodicChecks {
+    last_check_at: Micros,
+    last_failback_at: Micros,
+}
+
+impl PeriodicChecks {
+    pub(super) fn new(now: Micros) -> Self {
+        PeriodicChecks {
+            last_check_at: now,
+            last_failback_at: now,
+        }
+    }
+
+    /// Whether the checks are due; if so, they are taken for done.
+    fn begin_check(&mut self, now: Micros) -> bool {
+        let is_due = now.since(self.last_check_at) >= CHECK_INTERVAL;
+        if is_due {
+            self.last_check_at = now;
+        }
+        is_due
+    }
+
+    /// The same for failback.
+    pub(super) fn begin_failback(&mut self, now: Micros) -> bool {
+        let is_due = now.since(self.last_failback_at) >= FAILBACK_INTERVAL;
+        if is_due {
+            self.last_failback_at = now;
+        }
+        is_due
+    }
+}
+
+impl OwnedPartition {
+    /// What time alone changes, and what follows from all that changed before.
+    pub fn tick(&mut self, now: Micros, wall_clock: Micros, fleet: Resources) {
+        self.liveness.record_tick(now);
+        if self.checks.begin_check(now) {
+            self.run_periodic_checks(now);
+            self.check_zones(now, wall_clock);
+        }
+        if self.failover.take_recount() {
+            self.update_recovery(now);
+        }
+        self.schedule(now, wall_clock, fleet);
+    }
+
+    fn run_periodic_checks(&mut self, now: Micros) {
+        self.scheduling.retain_failing_jobs(&self.jobs);
+        self.expire_worker_leases(now);
+        self.request_probes(now);
+        self.stop_before_preemption(now);
+        self.update_recovery(now);
+        // Back-off ends, slack shrinks, and machines change without any message.
+        let has_waiting_work = self.jobs.values().any(Job::wants_machines);
+        self.scheduling.request_pass_if(has_waiting_work);
+    }
+
+    /// Whatever ran under an expired lease has surely stopped.
+    fn expire_worker_leases(&mut self, now: Micros) {
+        let lease_timeout = self.settings.worker_lease_timeout();
+        let mut expired: Vec<MachineId> = Vec::new();
+        let mut lost: Vec<(AttemptKey, MachineId)> = Vec::new();
+        let mut displaced: Vec<(JobId, String)> = Vec::new();
+        for (id, machine) in &mut self.machines {
+            let mut attempts = machine.attempts.values();
+            let is_busy = machine.is_unconfirmed()
+                || attempts.any(|attempt| attempt.phase != AttemptPhase::Exited);
+            if !is_busy || now.since(machine.lease_started_at()) <= lease_timeout {
+                continue;
+            }
+            tracing::info!(partition = %self.ownership.partition(), machine = %id, "worker lease expired");
+            for key in machine.expire() {
+                displaced.push((key.task.job.clone(), machine.spec.zone.clone()));
+                lost.push((key, id.clone()));
+            }
+            expired.push(id.clone());
+        }
+        for id in expired {
+            self.update_usage(&id);
+        }
+        for (key, id) in lost {
+            self.requeue(&key, &id);
+        }
+        for (job, zone) in displaced {
+            self.displace(&job, &zone);
+        }
+    }
+
+    /// Requests direct commands to machines that are late, and to those that have not shown our
+    /// fencing token yet.
+    fn request_probes(&mut self, now: Micros) {
+        let is_token_due = now.since(self.granted_at()) > TOKEN_COMMAND_DELAY;
+        let probe_after = self.heartbeat_intervals(SILENCE_INTERVALS) + CHECK_INTERVAL;
+        let release_timeout = self.release_timeout();
+        for (id, machine) in &mut self.machines {
+            let contact_at = machine.last_contact_at();
+            let silence = contact_at.map_or(Micros::ZERO, |contact_at| now.since(contact_at));
+            if silence > probe_after && silence < release_timeout {
+                // Better to know before something is started there.
+                machine.request_probe();
+            }
+            if machine.needs_probe() || machine.is_unconfirmed() && is_token_due {
+                self.direct_commands.request(id);
+            }
+        }
+    }
+
+    /// Stops what saves checkpoints just before the cloud takes its machine.
+    fn stop_before_preemption(&mut self, now: Micros) {
+        for (id, machine) in &mut self.machines {
+            let Some(preempted_at) = machine.preempted_at() else {
+                continue;
+            };
+            for (due, grace_period_s) in due_checkpoints(machine, preempted_at.since(now)) {
+                machine.stop(grace_period_s, |key| *key == due);
+                self.direct_commands.request(id);
+            }
+        }
+    }
+}
+
+/// The running attempts that have to save now on a machine that is taken after `remaining`, and
+/// how long that takes, in seconds.
+fn due_checkpoints(machine: &Machine, remaining: Micros) -> Vec<(AttemptKey, f64)> {
+    let due = |(key, attempt): (&AttemptKey, &Attempt)| {
+        if attempt.phase != AttemptPhase::Running || attempt.is_stopping() {
+            return None;
+        }
+        let desc = attempt.desc.as_ref()?;
+        let duration_s = desc.checkpoint_duration_s;
+        let is_due = desc.checkpoint_interval_s > 0.0
+            && remaining < Micros::from_secs(duration_s + PREEMPTION_NOTICE_MARGIN_S);
+        is_due.then(|| (key.clone(), duration_s))
+    };
+    machine.attempts.iter().filter_map(due).collect()
+}
--- a/src/partition_owner/reconcile.rs
+++ b/src/partition_owner/reconcile.rs
@@ -1,36 +1,45 @@
-//! Taking in what the store says of the partition: its machines, its jobs, their progress, and
-//! how the jobs before them stand.
+//! Reconciliation with the store: the partition's machines, its jobs, their progress, and the
+//! state of the jobs that they depend on.
 
-use super::*;
+use super::OwnedPartition;
+use crate::clock::Micros;
+use crate::cloud::MachineType;
+use crate::fairness::Resources;
+use crate::ids::{JobId, MachineId, Revision};
 use crate::jobs::dependencies::{DependencyGraph, Readiness};
-use crate::jobs::page_tasks;
+use crate::jobs::{Job, JobRecord, page_tasks};
+use crate::partitions::MachineRecord;
+use crate::watch_cache::WatchCache;
 use crate::workers::{Machine, MachineSpec};
+use std::collections::BTreeSet;
+
+/// The rate at which a machine fetches images where its type is unknown.
+const DEFAULT_IMAGE_FETCH_GB_PER_S: f64 = 1.0;
 
 impl OwnedPartition {
-    /// Takes over what the cache has. What ran before is learnt from reports:
-    /// until a machine has reported under our token, it may run anything.
+    /// Takes over what the cache has, at the grant. What ran before is learnt from heartbeats:
+    /// until a machine has sent one under our fencing token, it may run anything.
     pub fn fail_over(&mut self, now: Micros, cache: &WatchCache, types: &[MachineType]) {
-        // For telling which work has a choice of machines.
-        self.constrained = ConstrainedDemand::new(types);
-        self.types = types.into();
-        let shards: Vec<u32> = cache.shards(self.id).map(|(n, ..)| n).collect();
-        for n in shards {
-            self.reconcile_shard(now, n, cache, types, true);
+        self.scheduling.set_machine_types(types);
+        self.machine_types = types.into();
+        let shards: Vec<u32> = cache.shards(self.id()).map(|(shard, ..)| shard).collect();
+        for shard in shards {
+            self.reconcile_shard(now, shard, cache, types, true);
         }
-        let ids: Vec<JobId> = cache.jobs.keys().cloned().collect();
-        for id in ids {
+        let jobs: Vec<JobId> = cache.jobs.keys().cloned().collect();
+        for id in jobs {
             self.reconcile_job(&id, cache);
         }
     }
 
-    /// The store was read from the start while we held the partition all along.
+    /// Takes in the whole cache: the store was read from the start while we owned the
+    /// partition all along.
     pub fn reload(&mut self, now: Micros, cache: &WatchCache, types: &[MachineType]) {
-        let known = self.machines.values().map(|m| m.spec.shard);
-        let shards: BTreeSet<u32> = known
-            .chain(cache.shards(self.id).map(|(n, ..)| n))
-            .collect();
-        for n in shards {
-            self.reconcile_shard(now, n, cache, types, false);
+        let known = self.machines.values().map(|machine| machine.spec.shard);
+        let stored = cache.shards(self.id()).map(|(shard, ..)| shard);
+        let shards: BTreeSet<u32> = known.chain(stored).collect();
+        for shard in shards {
+            self.reconcile_shard(now, shard, cache, types, false);
         }
         let jobs: BTreeSet<JobId> = self.jobs.keys().chain(cache.jobs.keys()).cloned().collect();
         for id in jobs {
@@ -41,7 +50,8 @@
         }
     }
 
-    /// A shard of the partition's machines changed in the store.
+    /// Takes in a shard of the partition's machines that changed in the store. `at_grant`: it
+    /// is read for the first time after a failover, so that its used machines may run anything.
     pub fn reconcile_shard(
         &mut self,
         now: Micros,
@@ -50,106 +60,138 @@
         types: &[MachineType],
         at_grant: bool,
     ) {
-        let in_partition = |id: &MachineId| {
-            let found = cache.machine(id);
-            found.filter(|((b, _), r)| *b == self.id && r.release_reason.is_none())
+        self.remove_lost_machines(shard, cache);
+        let Some((revision, record)) = cache.machine_shards.get(&(self.id(), shard)) else {
+            return;
         };
-        let of_shard = self.machines.iter().filter(|(_, m)| m.spec.shard == shard);
-        let mut lost: Vec<MachineId> = Vec::new();
-        for (id, _) in of_shard {
-            if in_partition(id).is_none() {
-                lost.push(id.clone());
+        for (id, record) in &record.0 {
+            if record.release_reason.is_some() {
+                continue;
             }
-        }
-        for id in lost {
-            // The leader takes a machine out only after the cloud has said that it
-            // and all that was on it are gone; or we gave it up, idle.
-            if let Some(mut m) = self.machines.remove(&id) {
-                self.usage.remove(&m.load, m.spec.capacity);
-                let keys = m.expire();
-                tracing::info!(partition = %self.id, machine = %id, lost = keys.len(), "machine left the block");
-                for key in keys {
-                    self.displace(&key.task.job, &m.spec.zone);
-                    self.requeue(&key, &id);
+            match self.machines.get_mut(id) {
+                Some(machine) => {
+                    machine.spec.shard = shard;
+                    machine.used |= record.used;
+                    machine.record_shard_revision(*revision);
+                }
+                None => {
+                    let mut machine = self.machine_of(now, shard, record, types);
+                    machine.set_unconfirmed(at_grant && record.used);
+                    machine.load = machine.compute_load();
+                    self.usage.add(&machine.load, machine.spec.capacity);
+                    self.machines.insert(id.clone(), machine);
                 }
             }
         }
-        let Some((revision, rec)) = cache.machine_shards.get(&(self.id, shard)) else {
-            return;
+        self.update_recovery(now);
+        self.scheduling.request_pass();
+    }
+
+    /// Removes a shard's machines that are not recorded in the partition any more. The leader
+    /// takes a machine out only after the cloud has said that it and all that was on it are
+    /// lost; or we released it, idle.
+    fn remove_lost_machines(&mut self, shard: u32, cache: &WatchCache) {
+        let is_in_partition = |id: &MachineId| {
+            cache.machine(id).is_some_and(|((partition, _), record)| {
+                partition == self.id() && record.release_reason.is_none()
+            })
         };
-        for (id, r) in rec.0.iter().filter(|(_, r)| r.release_reason.is_none()) {
-            if let Some(m) = self.machines.get_mut(id) {
-                m.spec.shard = shard;
-                m.used |= r.used;
-                m.record_shard_revision(*revision);
+        let of_shard = self.machines.iter();
+        let lost: Vec<MachineId> = of_shard
+            .filter(|(id, machine)| machine.spec.shard == shard && !is_in_partition(id))
+            .map(|(id, _)| id.clone())
+            .collect();
+        for id in lost {
+            let Some(mut machine) = self.machines.remove(&id) else {
                 continue;
+            };
+            self.usage.remove(&machine.load, machine.spec.capacity);
+            let lost_attempts = machine.expire();
+            tracing::info!(partition = %self.id(), machine = %id, lost_attempts = lost_attempts.len(), "machine removed from partition");
+            for key in lost_attempts {
+                self.displace(&key.task.job, &machine.spec.zone);
+                self.requeue(&key, &id);
             }
-            let machine_type = types.iter().find(|t| t.name == r.machine_type);
-            let capacity = machine_type.map_or(Resources::default(), MachineType::capacity);
-            let term = self.term.max(r.term);
-            let mut m = Machine::new(
-                now,
-                term,
-                MachineSpec {
-                    machine_type: r.machine_type.clone(),
-                    zone: r.zone.clone(),
-                    spot: r.spot,
-                    capacity,
-                    addr: r.addr.clone(),
-                    shard,
-                    image_fetch_gb_per_s: machine_type.map_or(1.0, |t| t.fetch_gb_per_s),
-                },
-            );
-            m.set_unconfirmed(at_grant && r.used);
-            m.minimum_charge_paid = r.used;
-            m.used = r.used;
-            m.load = m.compute_load();
-            self.usage.add(&m.load, m.spec.capacity);
-            self.machines.insert(id.clone(), m);
         }
-        self.count_unconfirmed(now);
-        self.pass_pending = true;
     }
 
-    /// A job changed in the store.
+    /// A machine as its record has it.
+    fn machine_of(
+        &self,
+        now: Micros,
+        shard: u32,
+        record: &MachineRecord,
+        types: &[MachineType],
+    ) -> Machine {
+        let machine_type = types
+            .iter()
+            .find(|machine_type| machine_type.name == record.machine_type);
+        let spec = MachineSpec {
+            machine_type: record.machine_type.clone(),
+            zone: record.zone.clone(),
+            spot: record.spot,
+            capacity: machine_type.map_or(Resources::default(), MachineType::capacity),
+            addr: record.addr.clone(),
+            shard,
+            image_fetch_gb_per_s: machine_type
+                .map_or(DEFAULT_IMAGE_FETCH_GB_PER_S, |machine_type| {
+                    machine_type.fetch_gb_per_s
+                }),
+        };
+        let mut machine = Machine::new(now, self.term().max(record.term), spec);
+        machine.minimum_charge_paid = record.used;
+        machine.used = record.used;
+        machine
+    }
+
+    /// Takes in a job that changed in the store.
     pub fn reconcile_job(&mut self, id: &JobId, cache: &WatchCache) {
-        let Some((revision, rec)) = cache.jobs.get(id) else {
-            if let Some(job) = self.jobs.remove(id) {
-                self.pass_pending = true;
-                self.unreaped.remove(id);
-                if !job.ended {
-                    tracing::info!(partition = %self.id, job = %id, "job ended elsewhere: cancelled");
-                }
-                self.stop_job(id);
-            }
+        match cache.jobs.get(id) {
+            Some((revision, record)) => self.add_job(id, *revision, record, cache),
+            None => self.remove_job(id),
+        }
+    }
+
+    fn remove_job(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.remove(id) else {
             return;
         };
-        let team = self.settings.team(&rec.desc.team);
-        let Some(team) = team.filter(|t| self.teams.contains(t)) else {
+        self.scheduling.request_pass();
+        self.job_writes.take_unreaped(id);
+        if !job.ended {
+            tracing::info!(partition = %self.id(), job = %id, "job cancelled");
+        }
+        self.stop_job(id);
+    }
+
+    /// Adds a job of one of our teams, unless it is known already: its record never changes.
+    fn add_job(&mut self, id: &JobId, revision: Revision, record: &JobRecord, cache: &WatchCache) {
+        let Some(team) = self.settings.team(&record.desc.team) else {
             return;
         };
-        if self.jobs.contains_key(id) {
+        if !self.ownership.teams().contains(&team) || self.jobs.contains_key(id) {
             return;
         }
-        let page = page_tasks(self.settings.platform.state.value_kb);
-        let mut job = Job::new(rec, *revision, team, page);
-        job.limit_values(self.settings.platform.state.lowest_value_bytes());
-        job.start_latency_objective = self.settings.start_latency_objective(&rec.desc.class);
-        job.choose(self.policy.job(&rec.desc));
-        for (n, revision, rec) in cache.progress(id) {
-            job.recall(n, revision, rec);
+        let limits = &self.settings.platform.state;
+        let mut job = Job::new(record, revision, team, page_tasks(limits.value_kb));
+        job.limit_values(limits.lowest_value_bytes());
+        job.start_latency_objective = self.settings.start_latency_objective(&record.desc.class);
+        job.choose(self.policy.job(&record.desc));
+        for (page, revision, progress) in cache.progress(id) {
+            job.recall(page, revision, progress);
         }
         // A job whose last task was stored but not its end is ended by us.
-        self.dirty.insert(id.clone());
+        self.job_writes.mark_dirty(id);
         self.jobs.insert(id.clone(), job);
-        self.pass_pending = true;
+        self.scheduling.request_pass();
     }
 
-    /// The dependency graph changed: which jobs may start, which are cancelled with one
-    /// before them, and what they have from those that need them.
+    /// Takes in a change of the dependency graph: which jobs may start, which are cancelled
+    /// with a job that they depend on, and what they inherit from those that depend on them.
     pub fn update_dependencies(&mut self, graph: &DependencyGraph) {
         for (id, job) in &mut self.jobs {
-            self.pass_pending |= job.inherit(graph.inherited(id));
+            let is_changed = job.inherit(graph.inherited(id));
+            self.scheduling.request_pass_if(is_changed);
             if job.desc.dependencies.is_empty() || job.ended {
                 continue;
             }
@@ -157,24 +199,25 @@
             if !job.set_readiness(&readiness) {
                 continue;
             }
-            self.pass_pending = true;
+            self.scheduling.request_pass();
+            let partition = self.ownership.partition();
             match readiness {
                 Readiness::Ready(_) => {
-                    tracing::info!(partition = %self.id, job = %id, "all jobs before it are done");
+                    tracing::info!(%partition, job = %id, "job dependencies satisfied");
                 }
-                Readiness::Waiting(on) => {
-                    tracing::info!(partition = %self.id, job = %id, %on, "waits for a job before it");
+                Readiness::Waiting(dependency) => {
+                    tracing::info!(%partition, job = %id, %dependency, "job blocked by dependency");
                 }
                 Readiness::Cancelled => {
-                    tracing::info!(partition = %self.id, job = %id, "cancelled with a job before it");
-                    self.dirty.insert(id.clone());
+                    tracing::info!(%partition, job = %id, "job cancelled with its dependency");
+                    self.job_writes.mark_dirty(id);
                 }
             }
         }
     }
 
-    /// A page of a job's progress changed: by our own write, one without an answer
-    /// included.
+    /// Takes in a page of a job's progress that changed: by our own write, one without an
+    /// answer included.
     pub fn reconcile_progress_page(&mut self, id: &JobId, page: u32, cache: &WatchCache) {
         if let Some((revision, _)) = cache.progress_pages.get(&(id.clone(), page))
             && let Some(job) = self.jobs.get_mut(id)
@@ -182,38 +225,4 @@
             job.page_changed(page, *revision);
         }
     }
-
-    pub(super) fn count_unconfirmed(&mut self, now: Micros) {
-        let mut silent: Vec<SilentMachines> = Vec::new();
-        for m in self.machines.values().filter(|m| m.is_unconfirmed()) {
-            let capacity = (m.spec.capacity != Resources::default()).then_some(m.spec.capacity);
-            let alike = |s: &SilentMachines| {
-                s.machine_type == m.spec.machine_type
-                    && s.zone == m.spec.zone
-                    && s.spot == m.spec.spot
-                    && s.capacity == capacity
-            };
-            if !silent.iter().any(alike) {
-                silent.push(SilentMachines {
-                    machine_type: m.spec.machine_type.clone(),
-                    zone: m.spec.zone.clone(),
-                    spot: m.spec.spot,
-                    capacity,
-                });
-            }
-        }
-        let recovery = (!silent.is_empty()).then_some(FailoverRecovery {
-            term: self.term,
-            granted: self.revision,
-            silent,
-        });
-        // Fewer kinds that are silent: more jobs that can't be there.
-        self.pass_pending |= recovery != self.recovery;
-        let over = self.recovery.is_some() && recovery.is_none();
-        self.recovery = recovery;
-        if over {
-            self.recovered_at = now;
-            tracing::info!(partition = %self.id, term = %self.term, "all machines of the take-over have reported or are over");
-        }
-    }
 }
