--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::clock::{MonotonicClock, wall_clock_now};
 use crate::ids::{JobId, Revision};
-use crate::jobs::{EndedRecord, JobDesc, JobRecord, JobState, Refusal};
+use crate::jobs::{EndedRecord, JobDesc, JobRecord, JobState, SubmissionError, UnsatisfiableJob};
 use crate::partitions::FormatLevel;
 use crate::settings::Settings;
 use crate::settings::sockets::Sockets;
@@ -250,11 +250,16 @@
     }
 }
 
-fn refused(refusal: Refusal) -> UserAnswer {
+fn refused(refusal: impl Into<SubmissionError>) -> UserAnswer {
+    let refusal = refusal.into();
     tracing::info!(?refusal, "submission refused for good");
     match refusal {
-        Refusal::Malformed(why) => UserAnswer::Rejected(ApiError::Malformed(why)),
-        Refusal::NeverRuns(why) => UserAnswer::Rejected(ApiError::NeverRuns(why)),
+        SubmissionError::Malformed(why) => {
+            UserAnswer::Rejected(ApiError::Malformed(why.to_string()))
+        }
+        SubmissionError::NeverRuns(why) => {
+            UserAnswer::Rejected(ApiError::NeverRuns(why.to_string()))
+        }
     }
 }
 
--- a/src/api/read_index.rs
+++ b/src/api/read_index.rs
@@ -218,7 +218,9 @@
     let mut running = 0;
     let mut done = RangeSet::default();
     for (_, _, page) in cache.progress(id) {
-        page.done.iter().for_each(|(a, b)| done.add(*a, *b));
+        page.done
+            .iter()
+            .for_each(|(a, b)| done.insert_range(*a..*b));
         running += page.running;
     }
     Some(JobLookup::Live {
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -97,8 +97,7 @@
             match self.accepted(id).await {
                 Some(true) => {}
                 Some(false) => {
-                    let why = format!("it names {id}, which was never accepted");
-                    return Err(refused(Refusal::NeverRuns(why)));
+                    return Err(refused(UnsatisfiableJob::UnknownDependency(id.clone())));
                 }
                 None => return Err(NO_STORE),
             }
--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -222,7 +222,7 @@
             Input::CloudReply { request, reply } => self.cloud(now, request, reply, &mut out),
             Input::Mesh(message) => self.hear(now, message),
             Input::Cancelled { job, revision } => {
-                self.dependencies.end_stored(&job, JobEnd::Cancelled);
+                self.dependencies.record_end(&job, JobEnd::Cancelled);
                 self.sync_dependencies(now, &mut out);
                 self.cancelled(job.clone(), revision);
                 out.push(Effect::Mesh(Message::Cancelled { job, revision }));
--- a/src/controller/core/readings.rs
+++ b/src/controller/core/readings.rs
@@ -26,7 +26,7 @@
         }
         self.seen = Revision(revision.max(self.seen.0));
         for id in &jobs {
-            self.dependencies.sync_job(now, id, &self.cache.jobs);
+            self.dependencies.reconcile_job(now, id, &self.cache.jobs);
         }
         self.answer_reading(sent, out);
         if quiet {
@@ -69,7 +69,7 @@
                 h.update_dependencies(&self.dependencies);
             }
         }
-        let reads = self.dependencies.reads(now);
+        let reads = self.dependencies.take_end_reads(now);
         let read = |id: JobId| read_ended(StoreOperation::DependencyEnd(id.clone()), &id);
         out.extend(reads.into_iter().map(read));
     }
--- a/src/controller/core/replies.rs
+++ b/src/controller/core/replies.rs
@@ -55,7 +55,7 @@
                 }
             }
             StoreOperation::DependencyEnd(id) => {
-                self.dependencies.end_read(now, &id, reply);
+                self.dependencies.handle_end_read(now, &id, reply);
                 self.sync_dependencies(now, out);
             }
             StoreOperation::EndedJobLookup(id) => {
@@ -97,7 +97,7 @@
         };
         for (id, standing) in ends {
             let end = JobEnd::new(*standing, Some(*at), *revision);
-            self.dependencies.end_stored(id, end);
+            self.dependencies.record_end(id, end);
         }
     }
 
--- a/src/controller/tests/formats.rs
+++ b/src/controller/tests/formats.rs
@@ -8,7 +8,7 @@
 use super::*;
 use crate::cloud::ScaleOutRecord;
 use crate::ids::{JobId, Label, LeaseId, Revision, Term};
-use crate::jobs::{EndedRecord, JobRecord, ProgressRecord, page_tasks};
+use crate::jobs::{EndedRecord, JobRecord, ProgressRecord, tasks_per_page};
 use crate::mesh::{self, Message};
 use crate::partitions::{
     FormatLevel, LeaderRecord, MachinesRecord, MemberRecord, PartitionOwnerRecord, TermRecord,
@@ -94,7 +94,11 @@
 fn pages_of_progress_are_cut_as_by_the_version_in_production() {
     for page in production()["page_tasks"].as_array().expect("a list") {
         let value_kb = page["value_kb"].as_f64().expect("a size");
-        assert_eq!(json!(page_tasks(value_kb)), page["tasks"], "{value_kb} KiB");
+        assert_eq!(
+            json!(tasks_per_page(value_kb)),
+            page["tasks"],
+            "{value_kb} KiB"
+        );
     }
 }
 
--- a/src/controller/tests/size.rs
+++ b/src/controller/tests/size.rs
@@ -2,7 +2,7 @@
 
 use super::world::{World, secs};
 use crate::jobs::tests::desc;
-use crate::jobs::{JobState, Priority, page_tasks};
+use crate::jobs::{JobState, Priority, tasks_per_page};
 use serde_json::Value;
 
 /// Five controllers, and limits that two thousand machines of 16 cores need.
@@ -69,7 +69,7 @@
 fn ended_tasks_are_reaped_page_by_page_while_others_go_on_ending() {
     let mut w = World::new(1, 1);
     w.pass(6.0);
-    let page = page_tasks(w.nodes[0].settings.platform.state.value_kb);
+    let page = tasks_per_page(w.nodes[0].settings.platform.state.value_kb);
     let pages = 6;
     let mut array = desc("j-1", pages * page);
     (array.cores, array.memory_gb) = (0.003, 0.01);
--- a/src/jobs/dependencies.rs
+++ b/src/jobs/dependencies.rs
@@ -1,9 +1,9 @@
-//! Which jobs have to be done before which, and how that stands.
+//! The dependency graph: which jobs have to be done before which, and whether they are.
 //!
-//! Every controller keeps the graph of the jobs that are not over, from its cache of the
-//! store. How a job ended is known from its stored record only: that its live record is
-//! gone says nothing, since it goes for done and for cancelled jobs alike. An end that is
-//! not known counts as not done.
+//! Every controller keeps the graph of the live jobs, from its cache of the store. How a job
+//! ended is known from its ended record only: that its live record was deleted says nothing,
+//! since that happens to done and to cancelled jobs alike. An end that is not known counts
+//! as not done.
 //!
 //! A job is accepted after all that it names, so the graph has no cycles. Walks are
 //! iterative all the same and visit each job once.
@@ -15,29 +15,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Jobs that are not over, as the cache of the store has them.
+/// Live jobs, as the cache of the store has them.
 pub type LiveJobs = BTreeMap<JobId, (Revision, Rc<JobRecord>)>;
 
-/// How a job ended that others name.
+/// How a job ended that others depend on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobEnd {
     /// Every task is done.
     Done(DoneAt),
-    /// It will never be done.
+    /// It was cancelled, and will never be done.
     Cancelled,
 }
 
 /// When a job was done, or the last one of several.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DoneAt {
-    /// The time of day; none: an earlier version did not record it.
+    /// The wall-clock time; none: an earlier version did not record it.
     pub wall_clock: Option<Micros>,
     /// The store's revision.
     pub revision: Revision,
 }
 
 impl DoneAt {
-    fn last(self, other: DoneAt) -> DoneAt {
+    fn latest(self, other: DoneAt) -> DoneAt {
         DoneAt {
             wall_clock: self.wall_clock.max(other.wall_clock),
             revision: self.revision.max(other.revision),
@@ -46,14 +46,14 @@
 }
 
 impl JobEnd {
-    /// The end that a record of this revision tells of.
+    /// The end that a record of this revision says.
     pub fn of(record: &EndedRecord, revision: Revision) -> JobEnd {
         JobEnd::new(record.state, record.ended_at, revision)
     }
 
     /// An end that was stored at this revision.
-    pub fn new(standing: JobState, wall_clock: Option<Micros>, revision: Revision) -> JobEnd {
-        match standing {
+    pub fn new(state: JobState, wall_clock: Option<Micros>, revision: Revision) -> JobEnd {
+        match state {
             JobState::Done => JobEnd::Done(DoneAt {
                 wall_clock,
                 revision,
@@ -63,89 +63,90 @@
     }
 }
 
-/// Whether a job may start, as far as the jobs before it decide it.
+/// Whether a job may start, as far as its dependencies decide that.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Readiness {
-    /// All jobs before it are done, the last one then.
+    /// All its dependencies are done, the last one then.
     Ready(DoneAt),
-    /// This one, at least, is not known to be done.
+    /// This dependency, at least, is not known to be done.
     Waiting(JobId),
-    /// One before it was cancelled, and so is it.
+    /// A dependency was cancelled, and so is the job.
     Cancelled,
 }
 
-/// What a job has from those that need it.
+/// What a job inherits from those that depend on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Inherited {
-    /// The highest priority of all that need it.
-    pub rank: Priority,
-    /// The time of day by which it must be done so that all that need it can keep their
-    /// deadlines; none: none of them has one.
-    pub due: Option<Micros>,
+    /// The highest priority of all that depend on it.
+    pub priority: Priority,
+    /// The wall-clock time by which it must be done so that all that depend on it can keep
+    /// their deadlines; none: none of them has one.
+    pub deadline: Option<Micros>,
 }
 
-/// An end that has to be read.
+/// The read of an ended record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EndRead {
-    /// Not before then.
-    Due(Micros),
-    /// The read is out.
-    Out,
+    /// It is to be sent, but not before then.
+    DueAt(Micros),
+    /// It was sent and not answered yet.
+    InFlight,
 }
 
-/// Reads of ends that are out at once: after a failover there may be many.
-const MOST_READS: usize = 8;
-/// After a read that told nothing.
-const READ_AGAIN: Micros = Micros::from_millis(500);
-/// What a job takes between the end of those before it and its own first start, besides
-/// what its owner estimates: two writes, a report, and the fetch of its image.
-const STAGE_S: f64 = 2.0;
+/// Reads of ended records in flight at once: after a failover many may be due.
+const MAX_READS_IN_FLIGHT: usize = 8;
+/// Between a read without an answer and its retry.
+const READ_RETRY_INTERVAL: Micros = Micros::from_millis(500);
+/// What a job takes between the end of its dependencies and its own first start, in seconds,
+/// besides what its owner estimates: two writes, a heartbeat, and the fetch of its image.
+const STAGE_OVERHEAD_S: f64 = 2.0;
 
-/// The jobs that are not over and name others, and what is known of those.
+/// The live jobs that depend on others, and what is known of those.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
-    /// What each job that is not over names.
+    /// The dependencies of each live job that has any.
     dependencies: BTreeMap<JobId, Vec<JobId>>,
-    /// The jobs that are not over, by those that they name.
+    /// The live jobs that depend on each job.
     dependents: BTreeMap<JobId, BTreeSet<JobId>>,
-    /// How jobs ended that are named.
+    /// How dependencies ended.
     ends: BTreeMap<JobId, JobEnd>,
-    /// Jobs behind a cancelled one.
+    /// Live jobs behind a cancelled one.
     cancelled: BTreeSet<JobId>,
-    /// Named jobs that are over, it is not known how.
+    /// Dependencies that ended, it is not known how.
     unread: BTreeMap<JobId, EndRead>,
-    /// What jobs have from those that need them.
+    /// What jobs inherit from their dependents.
     inherited: BTreeMap<JobId, Inherited>,
-    changed: bool,
+    /// Something changed since the last refresh.
+    has_changed: bool,
 }
 
 impl DependencyGraph {
-    /// All jobs were read from the start.
+    /// All live jobs were read anew.
     pub fn reload(&mut self, now: Micros, live: &LiveJobs) {
         let known = self.dependencies.keys().chain(self.dependents.keys());
-        let naming = live
+        let with_dependencies = live
             .iter()
-            .filter(|(_, (_, rec))| !rec.desc.dependencies.is_empty())
+            .filter(|(_, (_, record))| !record.desc.dependencies.is_empty())
             .map(|(id, _)| id);
-        let ids: BTreeSet<JobId> = known.chain(naming).cloned().collect();
+        let ids: BTreeSet<JobId> = known.chain(with_dependencies).cloned().collect();
         for id in ids {
-            self.sync_job(now, &id, live);
+            self.reconcile_job(now, &id, live);
         }
     }
 
-    /// A job was accepted, or is over.
-    pub fn sync_job(&mut self, now: Micros, id: &JobId, live: &LiveJobs) {
+    /// A job was accepted, or ended.
+    pub fn reconcile_job(&mut self, now: Micros, id: &JobId, live: &LiveJobs) {
         match live.get(id) {
-            Some((_, rec)) => self.accepted(now, id, &rec.desc, live),
-            None => self.gone(now, id),
+            Some((_, record)) => self.add(now, id, &record.desc, live),
+            None => self.remove(now, id),
         }
     }
 
-    fn accepted(&mut self, now: Micros, id: &JobId, desc: &JobDesc, live: &LiveJobs) {
+    fn add(&mut self, now: Micros, id: &JobId, desc: &JobDesc, live: &LiveJobs) {
         if desc.dependencies.is_empty() || self.dependencies.contains_key(id) {
             return;
         }
-        self.changed = true;
+        self.has_changed = true;
         self.dependencies
             .insert(id.clone(), desc.dependencies.clone());
         for dependency in &desc.dependencies {
@@ -154,18 +155,18 @@
                 .or_default()
                 .insert(id.clone());
             if !live.contains_key(dependency) {
-                self.wants_end(now, dependency);
+                self.request_end(now, dependency);
             }
-            let ended = self.ends.get(dependency) == Some(&JobEnd::Cancelled);
-            if ended || self.cancelled.contains(dependency) {
+            let was_cancelled = self.ends.get(dependency) == Some(&JobEnd::Cancelled);
+            if was_cancelled || self.cancelled.contains(dependency) {
                 self.cancel(id.clone());
             }
         }
     }
 
-    fn gone(&mut self, now: Micros, id: &JobId) {
+    fn remove(&mut self, now: Micros, id: &JobId) {
         for dependency in self.dependencies.remove(id).unwrap_or_default() {
-            self.changed = true;
+            self.has_changed = true;
             let Some(others) = self.dependents.get_mut(&dependency) else {
                 continue;
             };
@@ -178,18 +179,18 @@
         }
         self.cancelled.remove(id);
         if self.dependents.contains_key(id) {
-            self.changed = true;
-            self.wants_end(now, id);
+            self.has_changed = true;
+            self.request_end(now, id);
         }
     }
 
-    fn wants_end(&mut self, now: Micros, id: &JobId) {
+    fn request_end(&mut self, now: Micros, id: &JobId) {
         if !self.ends.contains_key(id) {
-            self.unread.entry(id.clone()).or_insert(EndRead::Due(now));
+            self.unread.entry(id.clone()).or_insert(EndRead::DueAt(now));
         }
     }
 
-    /// It, and all that need it, will never be done.
+    /// The job, and all that depend on it, will never be done.
     fn cancel(&mut self, id: JobId) {
         let mut next = vec![id];
         while let Some(id) = next.pop() {
@@ -200,74 +201,79 @@
         }
     }
 
-    /// The store has this end of a job. Only its answers count here, to a read or to the
-    /// write itself; guards against a start on the word of a report or of a peer.
-    pub fn end_stored(&mut self, id: &JobId, end: JobEnd) {
+    /// Records that the store has this end of a job. Only the store's answers count here, to
+    /// a read or to the write itself; guards against a start on the word of a heartbeat or
+    /// of a peer.
+    pub fn record_end(&mut self, id: &JobId, end: JobEnd) {
         let Some(dependents) = self.dependents.get(id) else {
             return;
         };
         let dependents: Vec<JobId> = dependents.iter().cloned().collect();
         self.unread.remove(id);
         self.ends.insert(id.clone(), end);
-        self.changed = true;
+        self.has_changed = true;
         if end == JobEnd::Cancelled {
-            dependents.into_iter().for_each(|d| self.cancel(d));
+            for dependent in dependents {
+                self.cancel(dependent);
+            }
         }
     }
 
-    /// Ends to be read now, a bounded number at a time.
-    pub fn reads(&mut self, now: Micros) -> Vec<JobId> {
-        let out = self.unread.values().filter(|r| **r == EndRead::Out).count();
+    /// The jobs whose ended records are to be read now, a bounded number at a time.
+    pub fn take_end_reads(&mut self, now: Micros) -> Vec<JobId> {
+        let is_in_flight = |read: &&EndRead| **read == EndRead::InFlight;
+        let in_flight = self.unread.values().filter(is_in_flight).count();
         let due = self
             .unread
             .iter_mut()
-            .filter(|(_, read)| matches!(read, EndRead::Due(at) if now >= *at));
-        due.take(MOST_READS.saturating_sub(out))
+            .filter(|(_, read)| matches!(read, EndRead::DueAt(at) if now >= *at));
+        due.take(MAX_READS_IN_FLIGHT.saturating_sub(in_flight))
             .map(|(id, read)| {
-                *read = EndRead::Out;
+                *read = EndRead::InFlight;
                 id.clone()
             })
             .collect()
     }
 
-    /// The record of an ended job was read, or not.
-    pub fn end_read(&mut self, now: Micros, id: &JobId, reply: &Reply) {
+    /// Takes the answer to the read of a job's ended record.
+    pub fn handle_end_read(&mut self, now: Micros, id: &JobId, reply: &Reply) {
         let Reply::Value(row) = reply else {
-            self.read_again(now, id);
+            self.retry_read(now, id);
             return;
         };
         match EndedRecord::read(row) {
-            Ok(record) => self.end_stored(id, JobEnd::of(&record, row.revision)),
+            Ok(record) => self.record_end(id, JobEnd::of(&record, row.revision)),
             Err(error) => {
-                // Whatever it says, it does not say done: nothing that needs it starts.
-                tracing::error!(job = %id, %error, "the record of an ended job can't be read");
-                self.read_again(now, id);
+                // Whatever it says, it does not say done: nothing that depends on it starts.
+                tracing::error!(job = %id, %error, "ended record unreadable");
+                self.retry_read(now, id);
             }
         }
     }
 
-    fn read_again(&mut self, now: Micros, id: &JobId) {
+    fn retry_read(&mut self, now: Micros, id: &JobId) {
         if let Some(read) = self.unread.get_mut(id) {
-            *read = EndRead::Due(now + READ_AGAIN);
+            *read = EndRead::DueAt(now + READ_RETRY_INTERVAL);
         }
     }
 
-    /// Whether a job that is not over may start.
+    /// Whether a live job may start.
     pub fn readiness(&self, id: &JobId) -> Readiness {
         if self.cancelled.contains(id) {
             return Readiness::Cancelled;
         }
-        let mut last = DoneAt::default();
+        let mut latest = DoneAt::default();
         for dependency in self.dependencies.get(id).into_iter().flatten() {
             match self.ends.get(dependency) {
-                Some(JobEnd::Done(at)) => last = last.last(*at),
+                Some(JobEnd::Done(at)) => latest = latest.latest(*at),
                 _ => return Readiness::Waiting(dependency.clone()),
             }
         }
-        Readiness::Ready(last)
+        Readiness::Ready(latest)
     }
 
-    /// Whether one before the job was cancelled; none: the end of one is still to be read.
+    /// Whether a job before it, directly or not, was cancelled; none: the ended record of one
+    /// is still to be read.
     pub fn is_cancelled(&self, id: &JobId) -> Option<bool> {
         if self.cancelled.contains(id) {
             return Some(true);
@@ -275,14 +281,14 @@
         if self.unread.is_empty() {
             return Some(false);
         }
-        let mut seen: BTreeSet<&JobId> = BTreeSet::new();
+        let mut visited: BTreeSet<&JobId> = BTreeSet::new();
         let mut next = vec![id];
         while let Some(id) = next.pop() {
             for dependency in self.dependencies.get(id).into_iter().flatten() {
                 if self.unread.contains_key(dependency) {
                     return None;
                 }
-                if seen.insert(dependency) {
+                if visited.insert(dependency) {
                     next.push(dependency);
                 }
             }
@@ -290,15 +296,15 @@
         Some(false)
     }
 
-    /// What the job has from those that need it.
+    /// What the job inherits from those that depend on it.
     pub fn inherited(&self, id: &JobId) -> Option<Inherited> {
         self.inherited.get(id).copied()
     }
 
-    /// Whether anything changed since this was last asked. If so, what jobs have from
-    /// others is worked out anew.
+    /// Whether anything changed since the last refresh. If so, what jobs inherit is computed
+    /// anew.
     pub fn refresh(&mut self, live: &LiveJobs) -> bool {
-        if !std::mem::take(&mut self.changed) {
+        if !std::mem::take(&mut self.has_changed) {
             return false;
         }
         self.inherited = self.inherit(live);
@@ -308,26 +314,30 @@
     /// From the last jobs of each pipeline to the first ones, each job once.
     fn inherit(&self, live: &LiveJobs) -> BTreeMap<JobId, Inherited> {
         let mut inherited: BTreeMap<JobId, Inherited> = BTreeMap::new();
-        let count = |id: &JobId| self.dependents.get(id).map_or(0, BTreeSet::len);
-        let mut left: BTreeMap<&JobId, usize> = BTreeMap::new();
+        let dependent_count = |id: &JobId| self.dependents.get(id).map_or(0, BTreeSet::len);
+        let mut unvisited: BTreeMap<&JobId, usize> = BTreeMap::new();
         let mut next: Vec<&JobId> = self
             .dependencies
             .keys()
-            .filter(|id| count(id) == 0)
+            .filter(|id| dependent_count(id) == 0)
             .collect();
         while let Some(id) = next.pop() {
             let passed = live
                 .get(id)
                 .filter(|_| !self.cancelled.contains(id))
-                .map(|(_, rec)| passed_on(rec, inherited.get(id)));
+                .map(|(_, record)| passed_on(record, inherited.get(id)));
             for dependency in self.dependencies.get(id).into_iter().flatten() {
-                let left = left.entry(dependency).or_insert_with(|| count(dependency));
+                let left = unvisited
+                    .entry(dependency)
+                    .or_insert_with(|| dependent_count(dependency));
                 *left -= 1;
                 if *left == 0 {
                     next.push(dependency);
                 }
                 if let Some(passed) = passed.filter(|_| live.contains_key(dependency)) {
-                    let joined = inherited.get(dependency).map_or(passed, |o| o.join(passed));
+                    let joined = inherited
+                        .get(dependency)
+                        .map_or(passed, |other| other.join(passed));
                     inherited.insert(dependency.clone(), joined);
                 }
             }
@@ -339,25 +349,27 @@
 impl Inherited {
     fn join(self, other: Inherited) -> Inherited {
         Inherited {
-            rank: self.rank.max(other.rank),
-            due: self.due.into_iter().chain(other.due).min(),
+            priority: self.priority.max(other.priority),
+            deadline: self.deadline.into_iter().chain(other.deadline).min(),
         }
     }
 }
 
-/// What a job that needs others gives to them.
-fn passed_on(rec: &JobRecord, inherited: Option<&Inherited>) -> Inherited {
+/// What a job passes on to its dependencies: its own priority and deadline, joined with what
+/// it inherits itself, and the deadline less what the job takes.
+fn passed_on(record: &JobRecord, inherited: Option<&Inherited>) -> Inherited {
+    let desc = &record.desc;
     let own = Inherited {
-        rank: rec.desc.priority,
-        due: rec
-            .desc
+        priority: desc.priority,
+        deadline: desc
             .deadline_s
-            .map(|due| rec.accepted_at + Micros::from_secs(due)),
+            .map(|deadline_s| record.accepted_at + Micros::from_secs(deadline_s)),
     };
-    let all = inherited.map_or(own, |i| i.join(own));
-    let takes = Micros::from_secs(rec.desc.estimated_run_time_s + STAGE_S);
+    let all = inherited.map_or(own, |inherited| inherited.join(own));
+    let duration = Micros::from_secs(desc.estimated_run_time_s + STAGE_OVERHEAD_S);
+    let earlier = |deadline: Micros| Micros(deadline.0.saturating_sub(duration.0));
     Inherited {
-        due: all.due.map(|due| Micros(due.0.saturating_sub(takes.0))),
+        deadline: all.deadline.map(earlier),
         ..all
     }
 }
--- a/src/jobs/description.rs
+++ b/src/jobs/description.rs
@@ -1,23 +1,18 @@
-//! What users ask for: a job's description, and why one is refused.
+//! What users submit: a job's description. Its fields keep their names on the wire by
+//! `serde(rename)`, here and nowhere else.
 
 use super::Footprint;
-use crate::cloud::MachineType;
 use crate::fairness::Resources;
 use crate::ids::JobId;
-use crate::settings::Settings;
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// What stands beside a description in its record.
-const RECORD_BYTES: usize = 256;
-/// What a job's id takes in a list besides its characters.
-const ID_BYTES: usize = 3;
 /// A job has no more tasks.
-pub const MOST_TASKS: u32 = 100_000;
+pub const MAX_TASKS: u32 = 100_000;
 
-/// A job's priority; a higher one may stop a lower one.
+/// A job's priority; a higher one may preempt a lower one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
@@ -42,7 +37,7 @@
     Service,
 }
 
-/// A job as its user describes it.
+/// A job as its user describes it: one field for each of the submission.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobDesc {
     /// The job's id, chosen by its user.
@@ -50,7 +45,7 @@
     /// The class that it belongs to.
     #[serde(rename = "lot")]
     pub class: String,
-    /// Whose guarantee and limit apply.
+    /// The team whose guaranteed quota and limit apply.
     #[serde(rename = "crew")]
     pub team: String,
     /// How its tasks belong together.
@@ -89,16 +84,16 @@
     /// At most half of the tasks may be in one zone.
     #[serde(rename = "apart")]
     pub anti_affinity: bool,
-    /// It may take machines that the cloud may take back.
+    /// It may use spot machines, which the cloud may reclaim.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// The owner's estimate of a task's run time, in seconds.
     #[serde(rename = "reckonS")]
     pub estimated_run_time_s: f64,
-    /// A task saves each so many seconds; 0: never.
+    /// A task writes a checkpoint each so many seconds; 0: never.
     #[serde(rename = "markS")]
     pub checkpoint_interval_s: f64,
-    /// What a task needs to save when it is stopped, in seconds.
+    /// What a task needs to write a checkpoint when it is stopped, in seconds.
     #[serde(rename = "stowS")]
     pub checkpoint_duration_s: f64,
     /// The deadline, in seconds from its submission.
@@ -130,29 +125,20 @@
     Ok(ids)
 }
 
-/// An image's name in short. Two names that share one only make a machine look a
-/// little better than it is.
+/// A hash of an image's name. Two names that share one only make a machine seem a
+/// little better suited than it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ImageKey(u64);
 
-/// Why a submission is refused for good.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Refusal {
-    /// It can't be read, or a field is missing or invalid.
-    Malformed(String),
-    /// It can never run here.
-    NeverRuns(String),
-}
-
-/// No list of types allows any.
-pub fn allows_build(machine_types: &Option<Vec<String>>, machine_type: &str) -> bool {
-    machine_types
+/// Whether a list of allowed machine types has this one; no list allows any.
+pub fn allows_machine_type(allowed: &Option<Vec<String>>, machine_type: &str) -> bool {
+    allowed
         .as_ref()
-        .is_none_or(|b| b.iter().any(|b| b == machine_type))
+        .is_none_or(|allowed| allowed.iter().any(|name| name == machine_type))
 }
 
 impl JobDesc {
-    /// What a task takes.
+    /// What a task requests.
     pub fn request(&self) -> Resources {
         Resources::new(self.cores, self.gpus, self.memory_gb)
     }
@@ -165,120 +151,17 @@
         }
     }
 
-    /// Its image's name in short.
+    /// A hash of its image's name.
     pub fn image_key(&self) -> ImageKey {
         let mut hasher = DefaultHasher::new();
         self.image.hash(&mut hasher);
         ImageKey(hasher.finish())
     }
 
-    /// Whether a machine of this type, zone and kind is one the job allows.
+    /// Whether it allows a machine of this type and zone, spot or not.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
-            && self.zone.as_deref().is_none_or(|z| z == zone)
-            && allows_build(&self.machine_types, machine_type)
-    }
-
-    /// Reads a submission; whatever is missing or invalid makes it malformed.
-    pub fn parse(body: &[u8]) -> Result<JobDesc, Refusal> {
-        let bad = |why: String| Err(Refusal::Malformed(why));
-        let value: serde_json::Value = match serde_json::from_slice(body) {
-            Ok(v) => v,
-            Err(e) => return bad(format!("not JSON: {e}")),
-        };
-        if !value.is_object() {
-            return bad("not an object".into());
-        }
-        let job: JobDesc = match serde_json::from_value(value) {
-            Ok(j) => j,
-            Err(e) => return bad(e.to_string()),
-        };
-        if !job.id.is_well_formed() {
-            return bad("id must be j- and digits".into());
-        }
-        if job.tasks == 0 || job.tasks > MOST_TASKS {
-            return bad(format!("hands must be from 1 to {MOST_TASKS}"));
-        }
-        let amounts = [
-            ("cores", job.cores),
-            ("cards", job.gpus),
-            ("memGb", job.memory_gb),
-            ("sizeGb", job.image_gb),
-            ("reckonS", job.estimated_run_time_s),
-            ("markS", job.checkpoint_interval_s),
-            ("stowS", job.checkpoint_duration_s),
-            ("dueS", job.deadline_s.unwrap_or(0.0)),
-        ];
-        if let Some((name, _)) = amounts.iter().find(|(_, a)| !a.is_finite() || *a < 0.0) {
-            return bad(format!("{name} must be finite and not negative"));
-        }
-        if job.cores == 0.0 && job.gpus == 0.0 && job.memory_gb == 0.0 {
-            return bad("a task must take something of its machine".into());
-        }
-        let names = [
-            ("lot", &job.class),
-            ("crew", &job.team),
-            ("deck", &job.image),
-        ];
-        if let Some((name, _)) = names.iter().find(|(_, n)| n.is_empty()) {
-            return bad(format!("{name} is empty"));
-        }
-        Ok(job)
-    }
-
-    /// Whether its record fits into one value, with what stands beside it, now and under
-    /// the coming limits: a record is written once and never split.
-    pub(crate) fn recordable(&self, settings: &Settings) -> Result<(), Refusal> {
-        let most = settings.platform.state.lowest_value_bytes();
-        let most = most.saturating_sub(RECORD_BYTES);
-        let length = serde_json::to_string(self).map_or(0, |s| s.len());
-        if length <= most {
-            return Ok(());
-        }
-        let per_id = |id: &JobId| id.as_str().len() + ID_BYTES;
-        let named: usize = self.dependencies.iter().map(per_id).sum();
-        let rest = length - named;
-        let Some(room) = most.checked_sub(rest).filter(|_| named > 0) else {
-            let why = "its description is too long to be recorded";
-            return Err(Refusal::NeverRuns(why.into()));
-        };
-        let fitting = room * self.dependencies.len() / named;
-        Err(Refusal::NeverRuns(format!(
-            "it names {} jobs before it, and about {fitting} can be recorded",
-            self.dependencies.len()
-        )))
-    }
-
-    /// Whether it can ever run here.
-    pub fn admissible(&self, settings: &Settings, types: &[MachineType]) -> Result<(), Refusal> {
-        let never = |why: String| Err(Refusal::NeverRuns(why));
-        let Some(team) = settings.team(&self.team) else {
-            return never(format!("unknown team {}", self.team));
-        };
-        let together = if self.kind == JobKind::Array {
-            1
-        } else {
-            self.tasks
-        };
-        let least = self.request().scale(f64::from(together));
-        if !least.fits_in(&settings.platform.teams[team].limit()) {
-            return never("one task is over its team's limit".into());
-        }
-        self.recordable(settings)?;
-        let fitting = types
-            .iter()
-            .filter(|t| self.request().fits_in(&t.capacity()));
-        let zones: BTreeSet<&str> = fitting
-            .flat_map(|t| t.zones.iter().filter(|z| self.allows(&t.name, z, false)))
-            .map(String::as_str)
-            .collect();
-        if zones.is_empty() {
-            return never("a task fits no allowed machine type".into());
-        }
-        // At most half of the tasks, rounded up, may be in one zone.
-        if self.anti_affinity && self.tasks > 1 && (self.single_zone || zones.len() < 2) {
-            return never("its tasks must be apart, but only one zone is allowed".into());
-        }
-        Ok(())
+            && self.zone.as_deref().is_none_or(|allowed| allowed == zone)
+            && allows_machine_type(&self.machine_types, machine_type)
     }
 }
--- a/src/jobs/ranges.rs
+++ b/src/jobs/ranges.rs
@@ -1,107 +1,114 @@
-//! Sets of task numbers as compact ranges: 100,000 tasks is a legal job.
+//! Sets of task indexes as compact ranges: a job may have 100,000 tasks.
 
 use std::collections::BTreeMap;
+use std::ops::Range;
 
-/// A set of numbers, held as disjoint half-open ranges.
+/// A set of task indexes, held as disjoint half-open ranges that don't touch each other.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RangeSet {
-    ranges: BTreeMap<u32, u32>,
+    /// The end of each range, by its start.
+    ends: BTreeMap<u32, u32>,
     len: u32,
 }
 
 impl RangeSet {
-    /// From ranges, each with its end excluded.
-    pub fn from_pairs(pairs: impl IntoIterator<Item = (u32, u32)>) -> Self {
+    /// All from 0 to below `count`.
+    pub fn full(count: u32) -> Self {
         let mut set = RangeSet::default();
-        for (a, b) in pairs {
-            set.add(a, b);
-        }
+        set.insert_range(0..count);
         set
     }
 
-    /// All from 0 to below `n`.
-    pub fn full(n: u32) -> Self {
-        RangeSet::from_pairs([(0, n)])
-    }
-
-    /// How many numbers are in it.
+    /// How many indexes are in it.
     pub fn len(&self) -> u32 {
         self.len
     }
 
-    /// Whether none is in it.
+    /// Whether no index is in it.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Whether a number is in it.
-    pub fn contains(&self, i: u32) -> bool {
-        self.ranges
-            .range(..=i)
-            .next_back()
-            .is_some_and(|(_, &end)| i < end)
+    /// Whether an index is in it.
+    pub fn contains(&self, index: u32) -> bool {
+        self.range_at(index).is_some_and(|range| index < range.end)
     }
 
-    /// The least number.
+    /// The lowest index.
     pub fn first(&self) -> Option<u32> {
-        self.ranges.first_key_value().map(|(&a, _)| a)
+        self.ends.first_key_value().map(|(&start, _)| start)
+    }
+
+    /// The index that comes `position` places after the lowest one.
+    pub fn nth(&self, position: u32) -> Option<u32> {
+        let mut left = position;
+        for range in self.ranges() {
+            let length = range.end - range.start;
+            if left < length {
+                return Some(range.start + left);
+            }
+            left -= length;
+        }
+        None
     }
 
-    /// Adds a number; false if it was there.
-    pub fn insert(&mut self, i: u32) -> bool {
-        if self.contains(i) {
+    /// Adds an index; false if it was there.
+    pub fn insert(&mut self, index: u32) -> bool {
+        if self.contains(index) {
             return false;
         }
-        self.add(i, i + 1);
+        self.insert_range(index..index + 1);
         true
     }
 
-    /// Adds `a..b`, joining what touches it.
-    pub fn add(&mut self, mut a: u32, mut b: u32) {
-        if a >= b {
+    /// Adds all indexes of a range, which may be empty or overlap others.
+    pub fn insert_range(&mut self, range: Range<u32>) {
+        if range.is_empty() {
             return;
         }
-        while let Some((&s, &e)) = self.ranges.range(..=b).next_back() {
-            if e < a {
-                break;
-            }
-            self.ranges.remove(&s);
-            self.len -= e - s;
-            a = a.min(s);
-            b = b.max(e);
+        let (mut start, mut end) = (range.start, range.end);
+        while let Some(touching) = self.range_at(end).filter(|other| other.end >= start) {
+            self.remove_range(&touching);
+            start = start.min(touching.start);
+            end = end.max(touching.end);
         }
-        self.ranges.insert(a, b);
-        self.len += b - a;
+        self.ends.insert(start, end);
+        self.len += end - start;
     }
 
-    /// Takes a number out; false if it was not there.
-    pub fn remove(&mut self, i: u32) -> bool {
-        let Some((&s, &e)) = self.ranges.range(..=i).next_back() else {
+    /// Takes an index out; false if it was not there.
+    pub fn remove(&mut self, index: u32) -> bool {
+        let Some(range) = self.range_at(index).filter(|range| index < range.end) else {
             return false;
         };
-        if i >= e {
-            return false;
-        }
-        self.ranges.remove(&s);
-        if s < i {
-            self.ranges.insert(s, i);
-        }
-        if i + 1 < e {
-            self.ranges.insert(i + 1, e);
-        }
-        self.len -= 1;
+        self.remove_range(&range);
+        self.insert_range(range.start..index);
+        self.insert_range(index + 1..range.end);
         true
     }
 
-    /// Its ranges, each with its end excluded.
-    pub fn pairs(&self) -> impl Iterator<Item = (u32, u32)> + '_ {
-        self.ranges.iter().map(|(&a, &b)| (a, b))
+    /// Its ranges, in ascending order.
+    pub fn ranges(&self) -> impl Iterator<Item = Range<u32>> + '_ {
+        self.ends.iter().map(|(&start, &end)| start..end)
+    }
+
+    /// The part of the set that lies in `window`.
+    pub fn slice(&self, window: Range<u32>) -> Vec<Range<u32>> {
+        self.ranges()
+            .map(|range| range.start.max(window.start)..range.end.min(window.end))
+            .filter(|range| !range.is_empty())
+            .collect()
+    }
+
+    /// The last range that starts at or before an index.
+    fn range_at(&self, index: u32) -> Option<Range<u32>> {
+        let (&start, &end) = self.ends.range(..=index).next_back()?;
+        Some(start..end)
     }
 
-    /// The part of the set that lies in `from..to`.
-    pub fn slice(&self, from: u32, to: u32) -> Vec<(u32, u32)> {
-        let clip = |(a, b): (u32, u32)| (a.max(from), b.min(to));
-        self.pairs().map(clip).filter(|(a, b)| a < b).collect()
+    fn remove_range(&mut self, range: &Range<u32>) {
+        self.ends.remove(&range.start);
+        self.len -= range.end - range.start;
     }
 }
 
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -1,4 +1,4 @@
-//! What the store keeps of jobs, and how a job stands.
+//! What the key-value store keeps of jobs, and the states that users see.
 
 use super::JobDesc;
 use crate::clock::Micros;
@@ -7,13 +7,13 @@
 use crate::store::KeyValue;
 use serde::{Deserialize, Serialize};
 
-/// What the store keeps of a job that is not over. It never changes, so that
-/// watchers do not read a description again with every finished task.
+/// The record of a live job. It never changes, so that watchers do not read a description
+/// again with every finished task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What its user asked for.
+    /// What its user submitted.
     pub desc: JobDesc,
-    /// Time of day at which it was accepted.
+    /// Wall-clock time at which it was accepted.
     #[serde(rename = "at")]
     pub accepted_at: Micros,
     /// The term of its team's partition then: no earlier owner can have run it.
@@ -26,14 +26,14 @@
 pub struct ProgressRecord {
     /// Who wrote it.
     pub owner: Option<Label>,
-    /// Finished tasks of this page.
+    /// Finished tasks of this page as ranges, each with its end excluded.
     pub done: Vec<(u32, u32)>,
     /// How many tasks run, of the whole job; in the first page only.
     #[serde(default)]
     pub running: u32,
 }
 
-/// How a job stands, as its user is told.
+/// The state of a job as its user sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
@@ -43,23 +43,23 @@
     Running,
     /// Every task is done.
     Done,
-    /// Its user has cancelled it.
+    /// Its user cancelled it, or a job before it was cancelled.
     Cancelled,
 }
 
-/// What each task of a job takes, and whose limit it counts against.
+/// What each task of a job requests, and whose limit it counts against.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Footprint {
     /// The team's name.
     pub team: String,
-    /// What a task takes.
+    /// What a task requests.
     pub request: Resources,
 }
 
-/// What the store keeps of a job that is over. It never changes.
+/// The record of a job that has ended. It never changes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndedRecord {
-    /// How it ended.
+    /// The state that it ended in.
     #[serde(rename = "standing")]
     pub state: JobState,
     /// How many tasks it had.
@@ -68,7 +68,7 @@
     /// earlier versions lack it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub footprint: Option<Footprint>,
-    /// Time of day at which it ended, from which the times of jobs that need it count.
+    /// Wall-clock time at which it ended, from which the waiting of its dependents counts.
     /// Records of earlier versions lack it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "at")]
@@ -76,8 +76,8 @@
 }
 
 impl EndedRecord {
-    /// The record that the store answered with. One that can't be read says nothing, least
-    /// of all that the job is done.
+    /// The record in a row of the store. One that can't be read says nothing, and never
+    /// that the job is done.
     pub fn read(row: &KeyValue) -> Result<EndedRecord, serde_json::Error> {
         EndedRecord::deserialize(&row.value)
     }
--- a/src/partition_owner/heartbeats.rs
+++ b/src/partition_owner/heartbeats.rs
@@ -155,7 +155,7 @@
         match event {
             AttemptEvent::Started(key) => {
                 if let Some(job) = self.jobs.get_mut(&key.0.job) {
-                    job.runs(key.0.index);
+                    job.mark_running(key.0.index);
                     self.dirty.insert(key.0.job);
                 }
             }
@@ -193,13 +193,13 @@
         let mut ours = false;
         if let Some(job) = job {
             let free = index < job.desc.tasks
-                && !job.done.contains(index)
-                && !job.active.contains_key(&index);
-            ours = free || job.active.get(&index) == Some(on) && phase == Phase::Exited;
+                && !job.done().contains(index)
+                && !job.active().contains_key(&index);
+            ours = free || job.active().get(&index) == Some(on) && phase == Phase::Exited;
             if free && phase != Phase::Exited {
                 job.start(index, on.clone());
                 if phase == Phase::Running {
-                    job.runs(index);
+                    job.mark_running(index);
                 }
                 self.dirty.insert(key.0.job.clone());
             }
@@ -267,7 +267,7 @@
         if cause == Cause::Done
             && let Some(job) = job
         {
-            job.succeeded();
+            job.clear_failures();
             if let Some(m) = self.machines.get_mut(on) {
                 m.failed_jobs.clear();
             }
@@ -287,11 +287,10 @@
             if let Some(job) = job
                 && matches!(cause, Cause::Error | Cause::Unknown)
             {
-                job.failures += 1;
-                job.failed_on.insert(on.clone());
+                job.record_failure(on.clone());
                 // One job that fails everywhere says nothing about machines, so it
                 // waits longer each time; several failing here condemn the machine.
-                if job.fails() {
+                if job.is_failing() {
                     self.failing.insert(key.0.job.clone());
                     job.back_off(now);
                 }
@@ -300,7 +299,7 @@
                 let fair = m
                     .failed_jobs
                     .keys()
-                    .filter(|j| jobs.get(*j).is_none_or(|j| !j.fails()));
+                    .filter(|j| jobs.get(*j).is_none_or(|j| !j.is_failing()));
                 if fair.count() >= 2 && !m.draining {
                     tracing::info!(partition = %self.id, machine = %on, "machine fails tasks of several jobs: drained");
                     m.draining = true;
--- a/src/partition_owner/mod.rs
+++ b/src/partition_owner/mod.rs
@@ -235,8 +235,8 @@
 
     /// The store has cancelled a job: nothing more of it starts.
     pub fn cancel_job(&mut self, id: &JobId) {
-        if let Some(job) = self.jobs.get_mut(id).filter(|j| !j.ended) {
-            job.ended = true;
+        if let Some(job) = self.jobs.get_mut(id).filter(|j| !j.is_ended()) {
+            job.mark_ended();
             self.stop_job(id);
             self.pass_pending = true;
         }
@@ -264,7 +264,7 @@
     /// An attempt is over without a result.
     fn requeue(&mut self, key: &AttemptKey, on: &MachineId) {
         if let Some(job) = self.jobs.get_mut(&key.0.job)
-            && job.active.get(&key.0.index) == Some(on)
+            && job.active().get(&key.0.index) == Some(on)
         {
             job.requeue(key.0.index);
             self.dirty.insert(key.0.job.clone());
@@ -305,8 +305,8 @@
                 .failing
                 .iter()
                 .filter_map(|id| self.jobs.get(id))
-                .filter(|job| job.fails())
-                .map(|job| (job.team, job.failing()))
+                .filter(|job| job.is_failing())
+                .map(|job| (job.team, job.failing_resources()))
                 .collect(),
             heartbeat_timeout: self.heard_within(),
             zone_evacuation: self.zone_evacuation.as_ref(),
@@ -342,7 +342,7 @@
         );
         let jobs = &self.jobs;
         self.failing
-            .retain(|id| jobs.get(id).is_some_and(Job::fails));
+            .retain(|id| jobs.get(id).is_some_and(Job::is_failing));
         let (mut over, mut ended) = (Vec::new(), Vec::new());
         let mut displaced: Vec<(JobId, String)> = Vec::new();
         for (id, m) in &mut self.machines {
@@ -447,7 +447,7 @@
         let booting = cores(&mut self.machines.values().filter(|m| m.last_heard_at.is_none()));
         let mut waiting: BTreeMap<&str, u32> = BTreeMap::new();
         for j in self.jobs.values().filter(|j| j.wants_machines()) {
-            *waiting.entry(&j.desc.class).or_default() += j.waiting.len();
+            *waiting.entry(&j.desc.class).or_default() += j.waiting().len();
         }
         let bound_to_lost_zones = self.bound_to_lost_zones();
         let behind_others = self.jobs.values().filter(|j| !j.is_ready()).count();
--- a/src/partition_owner/reconcile.rs
+++ b/src/partition_owner/reconcile.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::jobs::dependencies::{DependencyGraph, Readiness};
-use crate::jobs::page_tasks;
+use crate::jobs::tasks_per_page;
 use crate::workers::ReleaseState;
 
 impl OwnedPartition {
@@ -119,7 +119,7 @@
             if let Some(job) = self.jobs.remove(id) {
                 self.pass_pending = true;
                 self.unreaped.remove(id);
-                if !job.ended {
+                if !job.is_ended() {
                     tracing::info!(partition = %self.id, job = %id, "job ended elsewhere: cancelled");
                 }
                 self.stop_job(id);
@@ -133,13 +133,13 @@
         if self.jobs.contains_key(id) {
             return;
         }
-        let page = page_tasks(self.settings.platform.state.value_kb);
+        let page = tasks_per_page(self.settings.platform.state.value_kb);
         let mut job = Job::new(rec, *revision, team, page);
-        job.limit_values(self.settings.platform.state.lowest_value_bytes());
+        job.limit_value_bytes(self.settings.platform.state.lowest_value_bytes());
         job.start_latency_objective = self.settings.start_latency_objective(&rec.desc.class);
-        job.choose(self.policy.job(&rec.desc));
+        job.apply_policy(self.policy.job(&rec.desc));
         for (n, revision, rec) in cache.progress(id) {
-            job.recall(n, revision, rec);
+            job.restore_progress(n, revision, rec);
         }
         // A job whose last task was stored but not its end is ended by us.
         self.dirty.insert(id.clone());
@@ -151,8 +151,8 @@
     /// before them, and what they have from those that need them.
     pub fn update_dependencies(&mut self, graph: &DependencyGraph) {
         for (id, job) in &mut self.jobs {
-            self.pass_pending |= job.inherit(graph.inherited(id));
-            if job.desc.dependencies.is_empty() || job.ended {
+            self.pass_pending |= job.set_inherited(graph.inherited(id));
+            if job.desc.dependencies.is_empty() || job.is_ended() {
                 continue;
             }
             let readiness = graph.readiness(id);
@@ -181,7 +181,7 @@
         if let Some((revision, _)) = cache.progress_pages.get(&(id.clone(), page))
             && let Some(job) = self.jobs.get_mut(id)
         {
-            job.page_changed(page, *revision);
+            job.set_page_revision(page, *revision);
         }
     }
 
--- a/src/partition_owner/records.rs
+++ b/src/partition_owner/records.rs
@@ -27,14 +27,14 @@
         let (mut ends, mut due) = (Vec::new(), Vec::new());
         for id in dirty {
             match self.jobs.get(&id) {
-                Some(job) if !job.ended => {
+                Some(job) if !job.is_ended() => {
                     if job.wants_write(now) {
-                        if job.is_over() {
+                        if job.is_terminal() {
                             ends.push(id);
                         } else {
-                            due.push((job.only_display(), job.write_after, id));
+                            due.push((job.has_only_display_changes(), job.next_write_at(), id));
                         }
-                    } else if !job.writing && now >= job.write_after {
+                    } else if job.may_write(now) {
                         self.dirty.remove(&id);
                     }
                 }
@@ -65,12 +65,12 @@
             if mutations.len() + 3 > budget {
                 break;
             }
-            let (c, o) = job.end_ops(wall_clock, budget - mutations.len());
+            let (c, o) = job.end_transaction(wall_clock, budget - mutations.len());
             compares.extend(c);
             mutations.extend(o);
-            job.writing = true;
+            job.begin_write();
             reap.extend(self.unreaped.remove(&id).unwrap_or_default());
-            ends.push((id, job.end_standing()));
+            ends.push((id, job.terminal_state()));
         }
         let write = Write::Ends {
             at: wall_clock,
@@ -96,15 +96,16 @@
             {
                 break;
             }
-            let (c, o, pages) = job.progress_ops(&self.label, (budget - mutations.len()).min(4));
+            let written = job.progress_transaction(&self.label, (budget - mutations.len()).min(4));
+            let (c, o, pages) = (written.compares, written.mutations, written.record_numbers);
             if pages.is_empty() {
                 continue;
             }
             bytes += o.iter().map(op_size).sum::<usize>();
             compares.extend(c);
             mutations.extend(o);
-            job.writing = true;
-            job.write_after = now + PROGRESS_GAP;
+            job.begin_write();
+            job.delay_writes_until(now + PROGRESS_GAP);
             // Guards against reports that grow without end: while new pages kept changing,
             // nothing of the job was reaped, until its owner could not read all that its
             // machines reported in time.
@@ -130,7 +131,7 @@
                     if let Some(job) = self.jobs.get_mut(id)
                         && matches!(reply, Reply::Committed(_))
                     {
-                        job.ended = true;
+                        job.mark_ended();
                         tracing::info!(partition = %self.id, job = %id, ?standing, "job is over");
                     }
                 }
@@ -188,11 +189,11 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.writing = false;
+        job.finish_write();
         match reply {
             Reply::Committed(revision) => {
                 for page in pages {
-                    job.page_changed(*page, *revision);
+                    job.set_page_revision(*page, *revision);
                 }
             }
             // A job's record never changes while the job lives: it was cancelled, or
@@ -202,8 +203,8 @@
             // Not carried out, or perhaps late: either way the revisions decide, and the
             // watch tells them.
             _ => {
-                job.unwritten(pages);
-                job.write_after = now + AGAIN;
+                job.mark_unwritten(pages);
+                job.delay_writes_until(now + AGAIN);
                 self.dirty.insert(id.clone());
             }
         }
--- a/src/partition_owner/starts.rs
+++ b/src/partition_owner/starts.rs
@@ -122,8 +122,8 @@
                 continue;
             };
             job.start(c.index, c.machine.clone());
-            job.last_start = wall_clock;
-            if job.fails() {
+            job.last_start_at = wall_clock;
+            if job.is_failing() {
                 // Until these have ended, no others of it are tried.
                 job.back_off(now);
             }
--- a/src/partition_owner/zones.rs
+++ b/src/partition_owner/zones.rs
@@ -80,7 +80,7 @@
         let bound =
             |job: &&Job| job.wants_machines() && job.desc.zone.as_ref().is_some_and(is_lost);
         let waiting = self.jobs.values().filter(bound);
-        waiting.map(|job| job.waiting.len()).sum()
+        waiting.map(|job| job.waiting().len()).sum()
     }
 
     /// How long a machine that reports regularly may be unheard.
@@ -425,7 +425,7 @@
 fn may_be_moved(job: &Job, attempt: &Attempt) -> bool {
     !job.desc.single_zone
         && !job.desc.anti_affinity
-        && !job.ended
+        && !job.is_ended()
         && attempt.stop_grace_period_s.is_none()
         && attempt.abandoned.is_none()
         && matches!(attempt.phase, Phase::Pulling | Phase::Running)
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -158,7 +158,7 @@
         // Held room stays held while the job that it is for still waits.
         let still_waits = |id: &&JobId| {
             let job = snapshot.jobs.get(*id);
-            job.is_some_and(|job| !job.waiting.is_empty())
+            job.is_some_and(|job| !job.waiting().is_empty())
         };
         candidate.held_for = machine.held_for.as_ref().filter(still_waits);
         let machines = vec![candidate];
--- a/src/placement/capacity_requests.rs
+++ b/src/placement/capacity_requests.rs
@@ -3,7 +3,7 @@
 use super::SchedulingSnapshot;
 use crate::clock::Micros;
 use crate::fairness::Resources;
-use crate::jobs::{Job, JobDesc, allows_build};
+use crate::jobs::{Job, JobDesc, allows_machine_type};
 use crate::workers::ReleaseState;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
     pub fn fits(&self, machine_type: &str, zone: &str, spot: bool, capacity: &Resources) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|only| only == zone)
-            && allows_build(&self.machine_types, machine_type)
+            && allows_machine_type(&self.machine_types, machine_type)
             && self.request.fits_in(capacity)
     }
 
@@ -81,7 +81,12 @@
 fn jobs_in_order<'a>(snapshot: &SchedulingSnapshot<'a>) -> Vec<&'a Job> {
     let waiting = snapshot.jobs.values().filter(|job| job.wants_machines());
     let mut jobs: Vec<&Job> = waiting.collect();
-    jobs.sort_by_cached_key(|job| (Reverse(job.rank()), job.slack(snapshot.wall_clock)));
+    jobs.sort_by_cached_key(|job| {
+        (
+            Reverse(job.effective_priority()),
+            job.slack_us(snapshot.wall_clock),
+        )
+    });
     let mut jobs = snapshot.in_evacuation_order(jobs, |job| *job);
     if let Some(evacuation) = snapshot.zone_evacuation {
         jobs.retain(|job| evacuation.may_scale_out_for(&job.desc.id));
@@ -126,14 +131,16 @@
         let request = desc.request();
         let startable = self.startable_tasks(job);
         let has_no_machine = self.has_no_machine(desc);
-        if job.fails() && !has_no_machine {
+        if job.is_failing() && !has_no_machine {
             // Guards against machines scaled out for a job that waits because it fails, and
             // not because it lacks capacity.
             return;
         }
-        let waited_long = self.snapshot.wall_clock.since(job.eligible_since) >= LONG_WAIT;
-        let exact =
-            f64::from(startable) * self.part_of_run_time(desc) * job.choice.rent + self.carry;
+        let waited_long = self.snapshot.wall_clock.since(job.eligible_since()) >= LONG_WAIT;
+        let exact = f64::from(startable)
+            * self.part_of_run_time(desc)
+            * job.policy_choice().scale_out_factor
+            + self.carry;
         let mut wanted = if waited_long || has_no_machine {
             exact.ceil()
         } else {
@@ -153,7 +160,7 @@
         let request = job.desc.request();
         self.left
             .get(&job.team)
-            .map_or(0, |left| request.times_in(left).min(job.waiting.len()))
+            .map_or(0, |left| request.times_in(left).min(job.waiting().len()))
             .min(job.startable())
     }
 
--- a/src/placement/constrained.rs
+++ b/src/placement/constrained.rs
@@ -9,7 +9,7 @@
 use crate::clock::Micros;
 use crate::cloud::MachineType;
 use crate::fairness::Resources;
-use crate::jobs::{Job, JobDesc, allows_build};
+use crate::jobs::{Job, JobDesc, allows_machine_type};
 
 /// Waiting classes that fit only some types of machines.
 #[derive(Debug, Default)]
@@ -45,7 +45,7 @@
     fn fitting(&self, desc: &JobDesc) -> Vec<bool> {
         let request = desc.request();
         let fits = |(name, capacity): &(String, Resources)| {
-            request.fits_in(capacity) && allows_build(&desc.machine_types, name)
+            request.fits_in(capacity) && allows_machine_type(&desc.machine_types, name)
         };
         self.machine_types.iter().map(fits).collect()
     }
@@ -111,15 +111,15 @@
 
 fn can_wait(job: &Job, wall_clock: Micros) -> bool {
     // Others wait for its end: what it waits, the whole pipeline does.
-    if job.is_awaited() {
+    if job.has_inherited_deadline() {
         return false;
     }
     match (job.start_latency_objective, job.desc.deadline_s) {
-        (Some(within), _) => wall_clock.since(job.eligible_since) < within.part(MAX_WAIT_PART),
-        (None, Some(_)) => job.slack(wall_clock) > MIN_SLACK_US,
+        (Some(within), _) => wall_clock.since(job.eligible_since()) < within.part(MAX_WAIT_PART),
+        (None, Some(_)) => job.slack_us(wall_clock) > MIN_SLACK_US,
         // Guards against small background tasks spread over machines of which others need
         // the whole: as long as the job progresses elsewhere, it can wait for the rest.
-        (None, None) => wall_clock.since(job.last_start) < MAX_TIME_SINCE_START,
+        (None, None) => wall_clock.since(job.last_start_at) < MAX_TIME_SINCE_START,
     }
 }
 
--- a/src/placement/constrained/tests.rs
+++ b/src/placement/constrained/tests.rs
@@ -26,7 +26,7 @@
     let mut background = Job::new(&background, Revision(1), 0, 64);
     let later = Micros::from_secs(100.0);
     assert!(constrained.leaves(&background, later).is_empty());
-    background.last_start = Micros::from_secs(50.0);
+    background.last_start_at = Micros::from_secs(50.0);
     assert_eq!(constrained.leaves(&background, later), vec!["big"]);
     // What fits no more than the waiting class does leaves it nothing.
     let mut large = rec("j-2", 4, Term(1));
--- a/src/placement/eligibility.rs
+++ b/src/placement/eligibility.rs
@@ -26,7 +26,7 @@
     // Guards against a task on two machines: while some of the partition have sent no
     // heartbeat since the failover, an old job's tasks may run there.
     let may_run_already = recovery.is_some_and(|recovery| recovery.may_hold(job));
-    !may_run_already && job.wants_machines() && now >= job.not_before
+    !may_run_already && job.wants_machines() && now >= job.not_before()
 }
 
 /// A job that has waited so long to begin goes to the head of its team, whatever its
@@ -37,12 +37,13 @@
 
 /// Whether a job has waited so long that it goes before all others of its team.
 pub fn is_starved(job: &Job, wall_clock: Micros) -> bool {
-    let has_begun =
-        job.last_start > job.eligible_since || !job.done.is_empty() || !job.active.is_empty();
+    let has_begun = job.last_start_at > job.eligible_since()
+        || !job.done().is_empty()
+        || !job.active().is_empty();
     let max_wait = if has_begun {
         MAX_WAIT_TO_GO_ON
     } else {
         MAX_WAIT_TO_BEGIN
     };
-    wall_clock.since(job.last_start) > max_wait
+    wall_clock.since(job.last_start_at) > max_wait
 }
--- a/src/placement/pass.rs
+++ b/src/placement/pass.rs
@@ -256,11 +256,11 @@
         if !leaves.is_empty() {
             return;
         }
-        if job.failed_on.is_empty() {
+        if job.failed_on().is_empty() {
             self.hopeless.push(ResourceShape::of(&job.desc));
         }
         if self.machines.is_whole_partition && self.held.is_none() {
-            let waiting = job.waiting.len() - self.placed(id);
+            let waiting = job.waiting().len() - self.placed(id);
             let by_zone = self
                 .progress
                 .get(id)
@@ -324,12 +324,5 @@
 
 /// The task that comes `n` places after the first that waits.
 fn nth_waiting(job: &Job, n: u32) -> Option<u32> {
-    let mut left = n;
-    for (start, end) in job.waiting.pairs() {
-        if left < end - start {
-            return Some(start + left);
-        }
-        left -= end - start;
-    }
-    None
+    job.waiting().nth(n)
 }
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -89,7 +89,8 @@
     // machines' heartbeats.
     let lowest = lowest_running_priority(snapshot);
     jobs.retain(|(_, job)| {
-        lowest.is_some_and(|lowest| lowest < job.rank()) || is_guaranteed(snapshot, job)
+        lowest.is_some_and(|lowest| lowest < job.effective_priority())
+            || is_guaranteed(snapshot, job)
     });
     if jobs.is_empty() {
         return jobs;
@@ -101,12 +102,12 @@
         .collect();
     let heaviness_of = |job: &Job| heaviness.get(&job.team).copied().unwrap_or(0.0);
     jobs.sort_by(|(_, left), (_, right)| {
-        let by_priority = right.rank().cmp(&left.rank());
+        let by_priority = right.effective_priority().cmp(&left.effective_priority());
         by_priority
             .then(heaviness_of(left).total_cmp(&heaviness_of(right)))
             .then(
-                left.slack(snapshot.wall_clock)
-                    .cmp(&right.slack(snapshot.wall_clock)),
+                left.slack_us(snapshot.wall_clock)
+                    .cmp(&right.slack_us(snapshot.wall_clock)),
             )
     });
     jobs.truncate(MAX_JOBS);
@@ -116,12 +117,12 @@
 /// Whether stopping others still helps a job, and waiting longer would not do:
 /// its deadline is near but not lost, or it has none and has waited for long.
 fn is_pressing(job: &Job, wall_clock: Micros) -> bool {
-    let waited = wall_clock.since(job.eligible_since);
-    match (starts_immediately(job), job.due()) {
-        (Some(within), _) if job.slack(wall_clock) >= -MAX_LATENESS_US => {
+    let waited = wall_clock.since(job.eligible_since());
+    match (starts_immediately(job), job.effective_deadline()) {
+        (Some(within), _) if job.slack_us(wall_clock) >= -MAX_LATENESS_US => {
             waited >= within.part(IMMEDIATE_WAIT_PART)
         }
-        (_, Some(_)) => (-MAX_LATENESS_US..THREATENED_SLACK_US).contains(&job.slack(wall_clock)),
+        (_, Some(_)) => (-MAX_LATENESS_US..THREATENED_SLACK_US).contains(&job.slack_us(wall_clock)),
         (_, None) => {
             let objective = job.start_latency_objective;
             let part = objective.map_or(Micros::ZERO, |within| within.part(WAIT_PART));
@@ -132,8 +133,11 @@
 
 /// The lowest priority of which anything is on a machine.
 fn lowest_running_priority(snapshot: &SchedulingSnapshot<'_>) -> Option<Priority> {
-    let running = snapshot.jobs.values().filter(|job| !job.active.is_empty());
-    running.map(Job::rank).min()
+    let running = snapshot
+        .jobs
+        .values()
+        .filter(|job| !job.active().is_empty());
+    running.map(Job::effective_priority).min()
 }
 
 /// Whether one more task of a job is within its team's guarantee.
@@ -202,7 +206,7 @@
         let team = &self.snapshot.settings.platform.teams[job.team];
         let mut pending = request
             .times_in(&(team.limit() - used))
-            .min(job.waiting.len().saturating_sub(reserved));
+            .min(job.waiting().len().saturating_sub(reserved));
         pending -= self.take_free_room(id, job, pending);
         if pending == 0 {
             return;
--- a/src/placement/preemption/victims.rs
+++ b/src/placement/preemption/victims.rs
@@ -153,7 +153,7 @@
         if victim.is_some_and(|victim| !self.has_slack(victim, ran)) {
             return false;
         }
-        if victim.map_or(desc.priority, Job::rank) < self.job.rank() {
+        if victim.map_or(desc.priority, Job::effective_priority) < self.job.effective_priority() {
             return true;
         }
         self.is_guaranteed && self.is_above_guarantee(attempt)
@@ -161,10 +161,10 @@
 
     /// Whether a job can stand that a task of it is stopped.
     fn has_slack(&self, victim: &Job, ran: Micros) -> bool {
-        let left = victim.slack(self.snapshot.wall_clock) + ran.0 as i64;
+        let left = victim.slack_us(self.snapshot.wall_clock) + ran.0 as i64;
         // One that waits for room itself gets it back late, and would be stopped again and
         // again: stopping helps where room is short for a moment, not all the time.
-        let factor = match (starts_immediately(self.job), victim.waiting.is_empty()) {
+        let factor = match (starts_immediately(self.job), victim.waiting().is_empty()) {
             (None, _) => 1,
             (Some(_), true) => IMMEDIATE_SLACK_FACTOR,
             (Some(_), false) => IMMEDIATE_SLACK_FACTOR_WAITING,
--- a/src/placement/queue.rs
+++ b/src/placement/queue.rs
@@ -38,8 +38,9 @@
 
 fn team_queue(snapshot: &SchedulingSnapshot<'_>, mut jobs: Vec<(&JobId, &Job)>) -> Vec<QueuedJob> {
     jobs.sort_by_cached_key(|(_, job)| {
-        let starved_since = is_starved(job, snapshot.wall_clock).then_some(Reverse(job.last_start));
-        (starved_since, job.turn(snapshot.wall_clock))
+        let starved_since =
+            is_starved(job, snapshot.wall_clock).then_some(Reverse(job.last_start_at));
+        (starved_since, job.scheduling_order(snapshot.wall_clock))
     });
     if snapshot
         .zone_evacuation
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -4,7 +4,7 @@
 pub mod lang;
 
 use crate::clock::Micros;
-use crate::jobs::{JobDesc, Priority};
+use crate::jobs::{JobDesc, PolicyChoice, Priority};
 use crate::settings::Settings;
 use lang::{Expr, Kind, PolicyError, SourcePosition, Value, fail};
 use rockdeal_types::suggestion::nearest;
@@ -55,27 +55,6 @@
     known: Known,
 }
 
-/// What the policy says of one job.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct JobChoice {
-    /// How much it counts among jobs of its rank.
-    pub weight: f64,
-    /// Which part of the room that it lacks is rented.
-    pub rent: f64,
-    /// Whether it may take spot machines.
-    pub spot: bool,
-}
-
-impl Default for JobChoice {
-    fn default() -> Self {
-        JobChoice {
-            weight: 1.0,
-            rent: 1.0,
-            spot: true,
-        }
-    }
-}
-
 const ANY: Kind = Kind::Number(0.0, 1e9);
 
 /// What is known of a job before it comes.
@@ -204,17 +183,17 @@
     }
 
     /// What it says of a job.
-    pub fn job(&self, d: &JobDesc) -> JobChoice {
+    pub fn job(&self, d: &JobDesc) -> PolicyChoice {
         let value = |name: &str| job_value(d, name).or_else(|| value_of(&self.known, name));
-        let normal = JobChoice::default();
+        let normal = PolicyChoice::default();
         // A job may be larger than the checker's ranges know, hence the clamps.
         let number = |e: &Expr, or: f64, least: f64, most: f64| match e.eval(&value) {
             Some(Value::Number(v)) if v.is_finite() => v.clamp(least, most),
             _ => or,
         };
-        JobChoice {
+        PolicyChoice {
             weight: number(&self.weight, normal.weight, 0.01, 100.0),
-            rent: number(&self.rent, normal.rent, 0.0, 4.0),
+            scale_out_factor: number(&self.rent, normal.scale_out_factor, 0.0, 4.0),
             spot: self.spot.eval(&value) != Some(Value::Truth(false)),
         }
     }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -30,10 +30,13 @@
     let p = Policy::parse(text, &settings()).expect("fine");
     let small = p.job(&desc("j-1", 4));
     let rent = 0.5;
-    assert_eq!((small.weight, small.spot, small.rent), (2.5, false, rent));
+    assert_eq!(
+        (small.weight, small.spot, small.scale_out_factor),
+        (2.5, false, rent)
+    );
     let large = p.job(&desc("j-1", 400));
-    assert_eq!((large.weight, large.rent), (1.0, 2.0));
-    assert_eq!(standard().job(&desc("j-1", 4)), JobChoice::default());
+    assert_eq!((large.weight, large.scale_out_factor), (1.0, 2.0));
+    assert_eq!(standard().job(&desc("j-1", 4)), PolicyChoice::default());
 }
 
 #[test]
@@ -125,7 +128,11 @@
     assert_eq!(times.map(Micros::as_secs), [102.0, 103.0, 104.0, 105.0]);
     let mut job = desc("j-1", 4);
     job.memory_gb = 4.5;
-    let JobChoice { weight, rent, spot } = p.job(&job);
+    let PolicyChoice {
+        weight,
+        scale_out_factor: rent,
+        spot,
+    } = p.job(&job);
     assert_eq!((p.block_load, weight, rent, spot), (101.0, 3.0, 2.0, false));
     for (name, rank) in [
         ("idle", Priority::Idle),
--- a/src/zones/evacuation.rs
+++ b/src/zones/evacuation.rs
@@ -140,7 +140,7 @@
         !self.situation.troubled.is_empty()
             && self
                 .situation
-                .closed_to(&job.desc, wall_clock.since(job.eligible_since), zone)
+                .closed_to(&job.desc, wall_clock.since(job.eligible_since()), zone)
     }
 
     /// Whether a silent machine of a zone is not released for now.
@@ -198,14 +198,14 @@
             .collect();
         // As placement orders them where their priorities are alike. Guards against capacity that
         // is scaled out for one and taken by another, again and again.
-        waiting.sort_by_cached_key(|job| job.turn(wall_clock));
+        waiting.sort_by_cached_key(|job| job.scheduling_order(wall_clock));
         waiting.reverse();
         waiting
             .into_iter()
             .map(|job| DisplacedJob {
                 id: job.desc.id.clone(),
                 priority: self.config.order.priority(job, wall_clock),
-                tasks: job.waiting.len(),
+                tasks: job.waiting().len(),
             })
             .collect()
     }
@@ -221,7 +221,7 @@
         of_zone
             .filter(|(id, _)| !self.waves.is_admitted(zone, id))
             .filter_map(|(id, _)| jobs.get(id).filter(|job| job.wants_machines()))
-            .map(|job| job.waiting.len())
+            .map(|job| job.waiting().len())
             .sum()
     }
 
--- a/src/zones/order.rs
+++ b/src/zones/order.rs
@@ -75,11 +75,11 @@
     /// The place of a job among those that are displaced.
     pub fn priority(&self, job: &Job, wall_clock: Micros) -> EvacuationPriority {
         let service = self.services.contains(&job.desc.class);
-        let waited = wall_clock.since(job.eligible_since).as_secs();
+        let waited = wall_clock.since(job.eligible_since()).as_secs();
         let value = |name: &str| match name {
-            "rank_level" => Some(Value::Number(level(job.rank()))),
+            "rank_level" => Some(Value::Number(level(job.effective_priority()))),
             "keeps_deadline" => Some(Value::Truth(
-                job.due().is_some() && job.slack(wall_clock) >= 0,
+                job.effective_deadline().is_some() && job.slack_us(wall_clock) >= 0,
             )),
             "waited_s" => Some(Value::Number(waited)),
             "service" => Some(Value::Truth(service)),
