--- a/src/api/connection_limiter.rs
+++ b/src/api/connection_limiter.rs
@@ -2,7 +2,7 @@
 //! ones are refused, and when a worker is asked to come back instead of staying.
 
 use crate::settings::Settings;
-use crate::settings::sockets::Sockets;
+use crate::settings::sockets::SocketShares;
 use salvo::async_trait;
 use salvo::conn::ConnCtrl;
 use salvo::fuse::{ArcConnObserver, ConnObserver, FuseAction, FuseConfig, FuseInfo, FusePolicy};
@@ -102,8 +102,9 @@
 }
 
 impl ConnectionLimiter {
-    pub fn new(settings: &Settings, sockets: &Sockets) -> Self {
-        let silent_s = (settings.platform.workers.report_s * SILENT_REPORTS).max(LEAST_SILENT_S);
+    pub fn new(settings: &Settings, sockets: &SocketShares) -> Self {
+        let silent_s =
+            (settings.platform.workers.heartbeat_interval_s * SILENT_REPORTS).max(LEAST_SILENT_S);
         // Guards against sockets lost to machines that died or are behind a cut: they
         // never close what they had open, and come back on another connection.
         let silent = Duration::from_secs_f64(silent_s);
@@ -111,9 +112,9 @@
             open: Arc::default(),
             fresh: Arc::default(),
             started: Instant::now(),
-            awaited: sockets.awaited,
-            served: sockets.served,
-            crowded: sockets.crowded,
+            awaited: sockets.max_unanswered,
+            served: sockets.max_served,
+            crowded: sockets.worker_close_threshold,
             config: FuseConfig::default()
                 .with_connection_idle_timeout(silent)
                 .with_write_stall_timeout(silent),
--- a/src/api/connection_limiter/tests.rs
+++ b/src/api/connection_limiter/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::settings::tests::settings;
 
-fn connection_limiter() -> (ConnectionLimiter, Sockets) {
+fn connection_limiter() -> (ConnectionLimiter, SocketShares) {
     let s = settings();
-    let sockets = s.sockets().expect("enough");
+    let sockets = s.socket_shares().expect("enough");
     (ConnectionLimiter::new(&s, &sockets), sockets)
 }
 
@@ -16,7 +16,7 @@
 #[test]
 fn at_the_bound_new_connections_are_refused_and_before_it_workers_do_not_stay() {
     let (connection_limiter, sockets) = connection_limiter();
-    let mut places: Vec<Place> = (0..=sockets.crowded)
+    let mut places: Vec<Place> = (0..=sockets.worker_close_threshold)
         .map(|_| answered(&connection_limiter))
         .collect();
     assert!(connection_limiter.crowded());
@@ -24,9 +24,9 @@
         matches!(connection_limiter.admit(), FuseAction::Accept(_)),
         "users still come in"
     );
-    places.extend((places.len()..sockets.served).map(|_| answered(&connection_limiter)));
+    places.extend((places.len()..sockets.max_served).map(|_| answered(&connection_limiter)));
     assert_eq!(connection_limiter.admit(), FuseAction::Reject);
-    places.truncate(sockets.crowded);
+    places.truncate(sockets.worker_close_threshold);
     assert!(matches!(connection_limiter.admit(), FuseAction::Accept(_)));
     assert!(!connection_limiter.crowded());
 }
@@ -34,7 +34,7 @@
 #[test]
 fn no_more_come_in_at_once_than_can_be_answered_in_time() {
     let (connection_limiter, sockets) = connection_limiter();
-    let mut places: Vec<Place> = (0..sockets.awaited)
+    let mut places: Vec<Place> = (0..sockets.max_unanswered)
         .map(|_| connection_limiter.place())
         .collect();
     assert_eq!(connection_limiter.admit(), FuseAction::Reject);
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -10,7 +10,7 @@
 use crate::jobs::{EndedRecord, JobDesc, JobRecord, JobState, SubmissionError, UnsatisfiableJob};
 use crate::partitions::FormatLevel;
 use crate::settings::Settings;
-use crate::settings::sockets::Sockets;
+use crate::settings::sockets::SocketShares;
 use crate::store::{self, Reply, Request as Ask, compare, keys};
 use crate::workers::Heartbeat;
 use connection_limiter::ConnectionLimiter;
@@ -373,7 +373,7 @@
 /// Starts to listen and serves in the background.
 pub async fn serve(
     settings: Arc<Settings>,
-    sockets: &Sockets,
+    sockets: &SocketShares,
     clock: MonotonicClock,
     ports: ApiChannels,
 ) -> Result<(), String> {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -55,7 +55,7 @@
         why: why.to_string(),
     };
     let sockets = settings
-        .sockets()
+        .socket_shares()
         .map_err(|e| refused(&settings.bind, &e))?;
     let p = &settings.platform;
     let share = 1.0 / p.initial_size.max(1) as f64;
@@ -115,7 +115,7 @@
         inputs,
         peers,
         view_out,
-        workers: Pools::new(sockets.direct),
+        workers: Pools::new(sockets.direct_commands),
         request_ids: BTreeMap::new(),
         questions: BTreeMap::new(),
         next: 0,
--- a/src/controller/tests/mod.rs
+++ b/src/controller/tests/mod.rs
@@ -195,7 +195,7 @@
     // The owner still reaches its worker, but not the store.
     w.nodes[owner].no_store = true;
     w.cancel("j-1");
-    let cancel_s = w.nodes[0].settings.platform.workers.cancel_s;
+    let cancel_s = w.nodes[0].settings.platform.workers.cancellation_timeout_s;
     w.pass(cancel_s - 1.0);
     assert_eq!(w.all_running(), 0);
 }
--- a/src/controller/tests/world.rs
+++ b/src/controller/tests/world.rs
@@ -807,7 +807,7 @@
                 // A machine that stands still runs nothing, until it goes on.
                 if let Some(told) = self.cancelled.get(&job).filter(|_| !w.hung) {
                     let since = self.now.since(*told).as_secs();
-                    let most = platform.workers.cancel_s;
+                    let most = platform.workers.cancellation_timeout_s;
                     assert!(
                         since <= most,
                         "{task} on {} is cancelled since {since}",
@@ -864,7 +864,11 @@
     }
 
     pub fn cancel_s(&self) -> f64 {
-        self.nodes[0].settings.platform.workers.cancel_s
+        self.nodes[0]
+            .settings
+            .platform
+            .workers
+            .cancellation_timeout_s
     }
 
     /// Machines that were compared with a class of work so far, by the first node.
--- a/src/partition_owner/health.rs
+++ b/src/partition_owner/health.rs
@@ -9,7 +9,7 @@
 
 impl OwnedPartition {
     pub(super) fn reports_of(&self, n: f64) -> Micros {
-        Micros::from_secs(self.settings.platform.workers.report_s * n)
+        Micros::from_secs(self.settings.platform.workers.heartbeat_interval_s * n)
     }
 
     /// How long after its last report a machine may still be sent tasks.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -113,9 +113,9 @@
 pub(crate) fn platform(settings: &Settings) -> Known {
     let p = &settings.platform;
     [
-        ("report_s", p.workers.report_s),
+        ("report_s", p.workers.heartbeat_interval_s),
         ("lease_s", p.workers.lease_s),
-        ("cancel_s", p.workers.cancel_s),
+        ("cancel_s", p.workers.cancellation_timeout_s),
         ("controllers", p.initial_size as f64),
         ("guaranteed_cores", settings.guarantees().cores),
         ("cpu_share", p.limits.cpu_share.unwrap_or(1.0)),
@@ -204,7 +204,7 @@
     pub fn partition_count(&self, settings: &Settings) -> u64 {
         let p = &settings.platform;
         let share = p.limits.cpu_share.unwrap_or(1.0);
-        let carried = self.block_load * p.workers.report_s * share;
+        let carried = self.block_load * p.workers.heartbeat_interval_s * share;
         let wanted = (settings.guarantees().cores / carried).ceil();
         (wanted as u64).clamp(1, p.initial_size as u64)
     }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -79,7 +79,7 @@
     let mut blocks = |cores: f64, report_s: f64, share: f64| {
         s.platform.teams[0].cpus = cores / 2.0;
         s.platform.teams[1].cpus = cores / 2.0;
-        s.platform.workers.report_s = report_s;
+        s.platform.workers.heartbeat_interval_s = report_s;
         s.platform.limits.cpu_share = Some(share);
         standard().partition_count(&s)
     };
@@ -117,7 +117,10 @@
             and cancel_s == 61 and controllers == 5 and guaranteed_cores == 16
             and cpu_share == 0.1 and min(1, 2) < max(2, 1) and clamp(9, 1, 2) >= 2);"#;
     let mut s = settings();
-    (s.platform.workers.cancel_s, s.platform.initial_size) = (61.0, 5);
+    (
+        s.platform.workers.cancellation_timeout_s,
+        s.platform.initial_size,
+    ) = (61.0, 5);
     let p = Policy::parse(text, &s).expect("fine");
     let times = [
         p.idle_return,
