--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -158,7 +158,7 @@
         Autoscaler {
             txn_ops: settings.max_mutations(),
             value_bytes: settings.platform.state.lowest_value_bytes(),
-            horizon: policy.rent_horizon,
+            horizon: policy.scale_out_horizon,
             ..Autoscaler::default()
         }
     }
--- a/src/controller/tests/world.rs
+++ b/src/controller/tests/world.rs
@@ -458,8 +458,8 @@
         let n = &mut self.nodes[i];
         // Nothing idle is returned here, unless a test wants it.
         let mut policy = standard();
-        policy.idle_return = self.idle_return;
-        policy.idle_return_ordinary = self.idle_return;
+        policy.spot_idle_timeout = self.idle_return;
+        policy.on_demand_idle_timeout = self.idle_return;
         let core = Core::new(n.settings.clone(), Rc::new(policy), self.now);
         n.core = Some(core.with_subsystems(&n.subsystems));
         n.loaded = false;
--- a/src/partition_owner/health.rs
+++ b/src/partition_owner/health.rs
@@ -19,7 +19,7 @@
 
     /// After this silence a machine is returned.
     pub(super) fn silence(&self) -> Micros {
-        self.policy.silent.max(self.reports_of(2.2))
+        self.policy.silence_timeout.max(self.reports_of(2.2))
     }
 
     /// Machines that are to be returned get nothing more to do.
--- a/src/partition_owner/mod.rs
+++ b/src/partition_owner/mod.rs
@@ -432,7 +432,7 @@
         placement::capacity_requests(
             &self.snapshot(now, wall_clock, fleet),
             &coming,
-            self.policy.rent_horizon,
+            self.policy.scale_out_horizon,
         )
     }
 
--- a/src/partition_owner/reconcile.rs
+++ b/src/partition_owner/reconcile.rs
@@ -137,7 +137,7 @@
         let mut job = Job::new(rec, *revision, team, page);
         job.limit_value_bytes(self.settings.platform.state.lowest_value_bytes());
         job.start_latency_objective = self.settings.start_latency_objective(&rec.desc.class);
-        job.apply_policy(self.policy.job(&rec.desc));
+        job.apply_policy(self.policy.choice_for(&rec.desc));
         for (n, revision, rec) in cache.progress(id) {
             job.restore_progress(n, revision, rec);
         }
--- a/src/partition_owner/records.rs
+++ b/src/partition_owner/records.rs
@@ -343,9 +343,9 @@
             let idle = now.since(m.idle_since.max(idle_from));
             let fits = |n: &CapacityRequest| n.fits(&m.machine_type, &m.zone, m.spot, &m.capacity);
             let idle_return = if m.spot {
-                policy.idle_return
+                policy.spot_idle_timeout
             } else {
-                policy.idle_return_ordinary
+                policy.on_demand_idle_timeout
             };
             // Less than a minute is charged as a minute. Guards against counting it from
             // each failover anew: under a roll of restarts nothing was returned.
--- a/src/zones/order.rs
+++ b/src/zones/order.rs
@@ -2,17 +2,19 @@
 
 use crate::clock::Micros;
 use crate::jobs::{Job, Priority};
-use crate::policy::lang::{self, Expr, Kind, PolicyError, SourcePosition, Value, fail};
-use crate::policy::{JOB, Known, job_value, platform, value_of};
+use crate::policy::lang::{
+    self, Expr, PolicyError, PolicyErrorKind, SourcePosition, Value, ValueType,
+};
+use crate::policy::{JOB_NAMES, PlatformValues, job_value};
 use crate::settings::Settings;
 use zone_failover::evacuation::EvacuationPriority;
 
 /// What an expression for the order may ask beyond what it may ask of any job.
-const DISPLACED: [(&str, Kind); 4] = [
-    ("rank_level", Kind::Number(0.0, 3.0)),
-    ("keeps_deadline", Kind::Truth),
-    ("waited_s", Kind::Number(0.0, 1e9)),
-    ("service", Kind::Truth),
+const DISPLACED: [(&str, ValueType); 4] = [
+    ("rank_level", ValueType::Number { min: 0.0, max: 3.0 }),
+    ("keeps_deadline", ValueType::Boolean),
+    ("waited_s", ValueType::Number { min: 0.0, max: 1e9 }),
+    ("service", ValueType::Boolean),
 ];
 
 /// The name under which the expression is read, for error messages.
@@ -22,7 +24,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct EvacuationOrder {
     expression: Expr,
-    known: Known,
+    known: PlatformValues,
     services: Vec<String>,
 }
 
@@ -37,32 +39,24 @@
         settings: &Settings,
         services: Vec<String>,
     ) -> Result<Self, PolicyError> {
-        let known = platform(settings);
-        let fixed = known.map(|(name, value)| (name, Kind::Number(value, value)));
-        let scope = [&fixed[..], &JOB[..], &DISPLACED[..]].concat();
-        let start = SourcePosition { line: 1, column: 1 };
+        let known = PlatformValues::new(settings);
+        let scope = [&known.scope()[..], &JOB_NAMES[..], &DISPLACED[..]].concat();
+        let start = SourcePosition::START;
         let mut parsed =
             lang::parse(&format!("{NAME} =\n{expression};")).map_err(from_first_line)?;
-        let Some((_, _, expression)) = parsed.pop() else {
-            return fail(
-                start,
-                "there is no expression",
-                "write one, or leave it out",
-            );
+        let Some(assignment) = parsed.pop() else {
+            return Err(PolicyErrorKind::NoExpression.at(start));
         };
         if !parsed.is_empty() {
-            return fail(
-                start,
-                "only one expression is allowed here",
-                "leave out the ;",
-            );
+            return Err(PolicyErrorKind::SeveralExpressions.at(start));
         }
+        let expression = assignment.expression;
         match expression.check(&scope).map_err(from_first_line)? {
-            Kind::Number(min, max) if min.is_finite() && max.is_finite() => {}
-            Kind::Number(..) => return fail(start, "it may grow without bound", "use clamp(...)"),
-            other => {
-                let why = format!("it must be a number, and is {}", other.name());
-                return fail(start, why, "as in 10 * rank_level");
+            ValueType::Number { min, max } if min.is_finite() && max.is_finite() => {}
+            ValueType::Number { .. } => return Err(PolicyErrorKind::Unbounded.at(start)),
+            given => {
+                let example = "10 * rank_level";
+                return Err(PolicyErrorKind::ExpressionNotNumber { given, example }.at(start));
             }
         }
         Ok(EvacuationOrder {
@@ -78,12 +72,12 @@
         let waited = wall_clock.since(job.eligible_since()).as_secs();
         let value = |name: &str| match name {
             "rank_level" => Some(Value::Number(level(job.effective_priority()))),
-            "keeps_deadline" => Some(Value::Truth(
+            "keeps_deadline" => Some(Value::Boolean(
                 job.effective_deadline().is_some() && job.slack_us(wall_clock) >= 0,
             )),
             "waited_s" => Some(Value::Number(waited)),
-            "service" => Some(Value::Truth(service)),
-            _ => job_value(&job.desc, name).or_else(|| value_of(&self.known, name)),
+            "service" => Some(Value::Boolean(service)),
+            _ => job_value(&job.desc, name).or_else(|| self.known.value(name)),
         };
         let given = match self.expression.eval(&value) {
             Some(Value::Number(number)) if number.is_finite() => number,
