--- a/src/jobs/dependencies.rs
+++ b/src/jobs/dependencies.rs
@@ -202,7 +202,7 @@
     }
 
     /// Records that the store has this end of a job. Only the store's answers count here, to
-    /// a read or to the write itself; guards against a start on the word of a heartbeat or
+    /// a read or to the write itself; guards against a start on the claim of a heartbeat or
     /// of a peer.
     pub fn record_end(&mut self, id: &JobId, end: JobEnd) {
         let Some(dependents) = self.dependents.get(id) else {
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -22,7 +22,7 @@
 /// A job in its owner's hands.
 #[derive(Debug)]
 pub struct Job {
-    /// What its user asked for, narrowed by the operators' policy.
+    /// What its user submitted, narrowed by the operators' policy.
     pub desc: Rc<JobDesc>,
     /// The index of its team in the settings.
     pub team: usize,
@@ -86,7 +86,7 @@
 
 /// Policy.
 impl Job {
-    /// Takes the operators' choice over. It can only narrow what the job allows.
+    /// Applies the operators' choice. It can only narrow what the job allows.
     pub fn apply_policy(&mut self, choice: PolicyChoice) {
         self.policy_choice = choice;
         if self.desc.spot && !choice.spot {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,13 +1,19 @@
-//! The command line: reads settings, then hands over to the library.
+//! The command line: reads the files that a controller runs by, and hands over to the
+//! library. Errors are printed in one line; the exit code is 2 where the arguments are wrong
+//! and 1 where a file is, or where the controller can't run.
 
 use clap::{Parser, Subcommand};
+use rockdeal::controller::ListenError;
 use rockdeal::policy::Policy;
-use rockdeal::settings::Settings;
+use rockdeal::settings::{Settings, SettingsError};
 use rockdeal::subsystems::Subsystems;
-use std::error::Error;
+use rockdeal::{controller, policy, subsystems};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+/// The exit code for arguments that can't be carried out, as clap's own.
+const USAGE_EXIT_CODE: u8 = 2;
+
 /// A cluster scheduler: places work lightest team first inside fenced, leased
 /// partitions of machines.
 #[derive(Parser)]
@@ -49,20 +55,39 @@
     Policy,
 }
 
-fn log() {
-    use tracing_subscriber::filter::LevelFilter;
-    let level = match std::env::var("LOG_LEVEL").as_deref() {
-        Ok("debug") => LevelFilter::DEBUG,
-        Ok("info") => LevelFilter::INFO,
-        _ => LevelFilter::ERROR,
-    };
-    tracing_subscriber::fmt()
-        .with_writer(std::io::stderr)
-        .with_max_level(level)
-        .with_ansi(false)
-        .without_time()
-        .with_target(false)
-        .init();
+/// Why the command failed.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    /// Neither a command nor a settings file was given.
+    #[error("--config FILE is needed; see rockdeal --help")]
+    NoConfig,
+    /// The settings file is refused.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The policy file is refused.
+    #[error(transparent)]
+    Policy(#[from] policy::LoadError),
+    /// The policy that is built in does not suit the settings.
+    #[error(transparent)]
+    StandardPolicy(#[from] policy::lang::PolicyError),
+    /// The subsystems file is refused.
+    #[error(transparent)]
+    Subsystems(#[from] subsystems::LoadError),
+    /// The system gives no runtime.
+    #[error("can't start the runtime: {0}")]
+    Runtime(#[source] std::io::Error),
+    /// The controller can't listen.
+    #[error(transparent)]
+    Listen(#[from] ListenError),
+}
+
+impl CommandError {
+    fn exit_code(&self) -> ExitCode {
+        match self {
+            CommandError::NoConfig => ExitCode::from(USAGE_EXIT_CODE),
+            _ => ExitCode::FAILURE,
+        }
+    }
 }
 
 /// The files that a controller runs by.
@@ -72,15 +97,15 @@
     subsystems: Option<PathBuf>,
 }
 
-/// What the files say, checked.
-struct Checked {
+/// The contents of the files, checked.
+struct Configuration {
     settings: Settings,
     policy: Policy,
     subsystems: Subsystems,
 }
 
 impl Files {
-    fn load(&self) -> Result<Checked, Box<dyn Error>> {
+    fn load(&self) -> Result<Configuration, CommandError> {
         let settings = Settings::load(&self.config)?;
         let policy = match &self.policy {
             Some(file) => Policy::load(file, &settings)?,
@@ -90,88 +115,106 @@
             Some(file) => Subsystems::load(file, &settings)?,
             None => Subsystems::default(),
         };
-        Ok(Checked {
+        Ok(Configuration {
             settings,
             policy,
             subsystems,
         })
     }
+
+    /// Checks the files, and prints in one line what follows from them.
+    fn check(&self) -> Result<(), CommandError> {
+        let Configuration {
+            settings,
+            policy,
+            subsystems,
+        } = self.load()?;
+        println!(
+            "{}: fine; a block's lease is {} s; blocks: {}{}",
+            self.config.display(),
+            settings.lease().as_secs(),
+            policy.partition_count(&settings),
+            subsystems_suffix(&subsystems)
+        );
+        Ok(())
+    }
 }
 
 /// The subsystems that are on, for the line that a check prints.
-fn describe(subsystems: &Subsystems) -> String {
+fn subsystems_suffix(subsystems: &Subsystems) -> String {
     match subsystems.names().as_slice() {
         [] => String::new(),
         names => format!("; on: {}", names.join(", ")),
     }
 }
 
-fn main() -> ExitCode {
-    let cli = Cli::parse();
-    let files = |config, policy, subsystems| Files {
-        config,
-        policy,
-        subsystems,
-    };
-    let (files, only_check) = match (cli.config, cli.command) {
-        (
-            _,
-            Some(Command::Check {
-                config,
-                policy,
-                subsystems,
-            }),
-        ) => (files(config, policy, subsystems), true),
-        (_, Some(Command::Policy)) => {
-            print!("{}", rockdeal::policy::DEFAULT);
-            return ExitCode::SUCCESS;
-        }
-        (Some(config), None) => (files(config, cli.policy, cli.subsystems), false),
-        (None, None) => {
-            eprintln!("rockdeal: --config FILE is needed; see rockdeal --help");
-            return ExitCode::from(2);
-        }
-    };
-    let checked = match files.load() {
-        Ok(checked) => checked,
-        Err(e) => {
-            eprintln!("rockdeal: {e}");
-            return ExitCode::FAILURE;
-        }
+/// Logs to the standard error, from the level that `LOG_LEVEL` names on.
+fn start_logging() {
+    use tracing_subscriber::filter::LevelFilter;
+    let level = match std::env::var("LOG_LEVEL").as_deref() {
+        Ok("debug") => LevelFilter::DEBUG,
+        Ok("info") => LevelFilter::INFO,
+        _ => LevelFilter::ERROR,
     };
-    let Checked {
+    tracing_subscriber::fmt()
+        .with_writer(std::io::stderr)
+        .with_max_level(level)
+        .with_ansi(false)
+        .without_time()
+        .with_target(false)
+        .init();
+}
+
+/// Runs a controller until it is killed.
+fn run_controller(configuration: Configuration) -> Result<(), CommandError> {
+    let Configuration {
         settings,
         policy,
         subsystems,
-    } = checked;
-    if only_check {
-        println!(
-            "{}: fine; a block's lease is {} s; blocks: {}{}",
-            files.config.display(),
-            settings.lease().as_secs(),
-            policy.partition_count(&settings),
-            describe(&subsystems)
-        );
-        return ExitCode::SUCCESS;
-    }
-    log();
-    let runtime = match tokio::runtime::Builder::new_current_thread()
+    } = configuration;
+    start_logging();
+    let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-    {
-        Ok(r) => r,
-        Err(e) => {
-            eprintln!("rockdeal: can't start the runtime: {e}");
-            return ExitCode::FAILURE;
+        .map_err(CommandError::Runtime)?;
+    let tasks = tokio::task::LocalSet::new();
+    let controller = controller::run(settings, policy, subsystems);
+    Ok(runtime.block_on(tasks.run_until(controller))?)
+}
+
+fn execute(cli: Cli) -> Result<(), CommandError> {
+    match cli.command {
+        Some(Command::Check {
+            config,
+            policy,
+            subsystems,
+        }) => Files {
+            config,
+            policy,
+            subsystems,
         }
-    };
-    let local = tokio::task::LocalSet::new();
-    match runtime.block_on(local.run_until(rockdeal::controller::run(settings, policy, subsystems)))
-    {
+        .check(),
+        Some(Command::Policy) => {
+            print!("{}", policy::DEFAULT);
+            Ok(())
+        }
+        None => {
+            let files = Files {
+                config: cli.config.ok_or(CommandError::NoConfig)?,
+                policy: cli.policy,
+                subsystems: cli.subsystems,
+            };
+            run_controller(files.load()?)
+        }
+    }
+}
+
+fn main() -> ExitCode {
+    match execute(Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("rockdeal: {e}");
-            ExitCode::FAILURE
+        Err(error) => {
+            eprintln!("rockdeal: {error}");
+            error.exit_code()
         }
     }
 }
--- a/src/policy/lang/error.rs
+++ b/src/policy/lang/error.rs
@@ -15,6 +15,22 @@
 impl SourcePosition {
     /// The start of a file.
     pub const START: SourcePosition = SourcePosition { line: 1, column: 1 };
+
+    /// The position of a byte of a text; beyond its end: the end.
+    pub fn of_byte(text: &str, offset: usize) -> SourcePosition {
+        let before = text.get(..offset).unwrap_or(text);
+        let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
+        SourcePosition {
+            line: 1 + before.matches('\n').count(),
+            column: 1 + before[line_start..].chars().count(),
+        }
+    }
+}
+
+impl fmt::Display for SourcePosition {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "line {}, column {}", self.line, self.column)
+    }
 }
 
 /// What is wrong with a policy, and where.
@@ -28,8 +44,7 @@
 
 impl fmt::Display for PolicyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let SourcePosition { line, column } = self.at;
-        write!(f, "line {line}, column {column}: {}", self.kind)?;
+        write!(f, "{}: {}", self.at, self.kind)?;
         match self.kind.hint() {
             Some(hint) => write!(f, " ({hint})"),
             None => Ok(()),
--- a/src/subsystems/tests.rs
+++ b/src/subsystems/tests.rs
@@ -11,28 +11,29 @@
 
 fn refused(text: &str) -> String {
     let error = Subsystems::parse(text, &settings()).expect_err(text);
-    let told = error.to_string();
-    assert!(!told.contains('\n'), "one line: {told}");
-    told
+    let message = error.to_string();
+    assert!(!message.contains('\n'), "one line: {message}");
+    message
 }
 
 #[test]
-fn an_empty_file_turns_nothing_on() {
-    let subsystems = Subsystems::parse("", &settings()).expect("fine");
+fn empty_file_turns_no_subsystem_on() {
+    let subsystems = Subsystems::parse("", &settings()).expect("a valid file");
     assert!(subsystems.names().is_empty());
-    let on = Subsystems::parse("[zone-failover]\nenabled = true", &settings()).expect("fine");
+    let on =
+        Subsystems::parse("[zone-failover]\nenabled = true", &settings()).expect("a valid file");
     assert_eq!(on.names(), ["zone-failover"]);
 }
 
 #[test]
-fn the_file_that_is_deployed_is_fine() {
+fn deployed_file_is_valid_and_turns_no_subsystem_on() {
     let text = include_str!("../../deploy/subsystems.toml");
-    let subsystems = Subsystems::parse(text, &settings()).expect("fine");
+    let subsystems = Subsystems::parse(text, &settings()).expect("a valid file");
     assert!(subsystems.names().is_empty(), "off until it is chosen");
 }
 
 #[test]
-fn what_is_wrong_is_told_with_its_place() {
+fn errors_name_their_position() {
     let cases = [
         ("[zone-fail]", "line 1, column 2: unknown field `zone-fail`"),
         ("[zone-failover", "line 1, column 15"),
@@ -46,19 +47,19 @@
         ),
     ];
     for (text, expected) in cases {
-        let told = refused(text);
-        assert!(told.starts_with(expected), "{text}: {told}");
+        let message = refused(text);
+        assert!(message.starts_with(expected), "{text}: {message}");
     }
 }
 
 #[test]
-fn the_order_of_evacuation_is_checked_as_any_expression_of_operators() {
+fn evacuation_priority_is_checked_as_a_policy_expression() {
     let with = |expression: &str| format!("[zone-failover]\nevacuation-priority = '{expression}'");
-    for fine in [
+    for valid in [
         "rank_level",
         "if class == \"gauge-alerts\" then 9 else waited_s / 60",
     ] {
-        Subsystems::parse(&with(fine), &settings()).expect(fine);
+        Subsystems::parse(&with(valid), &settings()).expect(valid);
     }
     let cases = [
         ("rank_levle", "did you mean rank_level?"),
@@ -68,43 +69,44 @@
         ("", "a value is missing here"),
     ];
     for (expression, expected) in cases {
-        let told = refused(&with(expression));
-        assert!(told.contains(expected), "{expression}: {told}");
+        let message = refused(&with(expression));
+        assert!(message.contains(expected), "{expression}: {message}");
         assert!(
-            told.starts_with("line 2, column 23: evacuation-priority: line 1"),
-            "{told}"
+            message.starts_with("line 2, column 23: evacuation-priority: line 1"),
+            "{message}"
         );
     }
 }
 
 #[test]
-fn the_file_that_is_deployed_names_the_values_that_hold_without_it() {
+fn deployed_file_states_the_default_values() {
     let text = include_str!("../../deploy/subsystems.toml");
     let on = text.replace("enabled = false", "enabled = true");
-    let deployed = Subsystems::parse(&on, &settings()).expect("fine");
-    let short = Subsystems::parse("[zone-failover]\nenabled = true", &settings()).expect("fine");
-    let parts = |s: &Subsystems| {
-        let config = s.zone_failover.clone().expect("on");
+    let deployed = Subsystems::parse(&on, &settings()).expect("a valid file");
+    let short =
+        Subsystems::parse("[zone-failover]\nenabled = true", &settings()).expect("a valid file");
+    let parts = |subsystems: &Subsystems| {
+        let config = subsystems.zone_failover.clone().expect("on");
         (config.settings.clone(), config.order.clone())
     };
     assert_eq!(parts(&deployed), parts(&short));
-    // What is commented out is fine, too.
+    // What is commented out is valid, too.
     let all = on.replace("# [[", "[[");
     let names = ["time-zone", "days", "from", "to", "zone", "state"];
-    let all = names.iter().fold(all, |t, n| {
-        t.replace(&format!("# {n} = "), &format!("{n} = "))
+    let all = names.iter().fold(all, |text, name| {
+        text.replace(&format!("# {name} = "), &format!("{name} = "))
     });
     let all = all.replace("huonville-yard", "x");
-    let (all, _) = parts(&Subsystems::parse(&all, &settings()).expect("fine"));
+    let (all, _) = parts(&Subsystems::parse(&all, &settings()).expect("a valid file"));
     assert_eq!((all.failback.windows.len(), all.declared.len()), (1, 1));
 }
 
 #[test]
-fn an_order_of_evacuation_may_use_these_names() {
-    let told = refused("[zone-failover]\nevacuation-priority = 'zzz'");
+fn names_of_the_evacuation_scope_are_fixed() {
+    let message = refused("[zone-failover]\nevacuation-priority = 'zzz'");
     let names = "known are report_s, lease_s, cancel_s, controllers, guaranteed_cores, cpu_share, \
                  class, team, rank, tasks, cores, memory_gb, image_gb, estimate_s, due_s, has_deadline, \
                  rank_level, keeps_deadline, waited_s, service";
-    assert!(told.contains(names), "{told}");
+    assert!(message.contains(names), "{message}");
     assert!(refused("zzz = 1").ends_with("unknown field `zzz`, expected `zone-failover`"));
 }
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,11 +1,10 @@
-//! The command line: what a check says of the subsystems file, and what is refused before
-//! the start.
+//! The command line: the lines that it prints, and its exit codes.
 
 use serde_json::{Value, json};
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-fn written(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("rockdeal-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     let path = dir.join(name);
@@ -28,9 +27,9 @@
     })
 }
 
-/// Each test has its own file: they run at once, and one that is being written is empty.
+/// Each test has its own file: they run concurrently, and one that is being written is empty.
 fn settings(name: &str) -> PathBuf {
-    written(&format!("{name}.json"), &example().to_string())
+    write_file(&format!("{name}.json"), &example().to_string())
 }
 
 fn check(name: &str, subsystems: &str) -> Output {
@@ -39,19 +38,19 @@
         .arg("--config")
         .arg(settings(name))
         .arg("--subsystems")
-        .arg(written(name, subsystems))
+        .arg(write_file(name, subsystems))
         .output()
         .expect("it runs")
 }
 
 #[test]
-fn a_check_tells_which_subsystems_are_on() {
+fn check_prints_the_subsystems_that_are_on() {
     let off = check("off.toml", "");
     assert!(off.status.success(), "{off:?}");
-    let told = String::from_utf8_lossy(&off.stdout);
+    let printed = String::from_utf8_lossy(&off.stdout);
     assert!(
-        told.trim_end().ends_with("; blocks: 1"),
-        "nothing is on: {told}"
+        printed.trim_end().ends_with("; blocks: 1"),
+        "nothing is on: {printed}"
     );
     let on = check("on.toml", "[zone-failover]\nenabled = true\n");
     assert!(on.status.success(), "{on:?}");
@@ -63,15 +62,15 @@
 }
 
 #[test]
-fn a_wrong_file_is_refused_in_one_line_with_place_and_remedy() {
+fn invalid_subsystems_file_is_refused_in_one_line_with_position_and_remedy() {
     let wrong = "[zone-failover]\n[[zone-failover.declared]]\nzone = \"w\"\nstate = \"out\"\n";
     let refused = check("wrong.toml", wrong);
     assert!(!refused.status.success());
     assert!(refused.stdout.is_empty());
-    let told = String::from_utf8_lossy(&refused.stderr);
-    assert_eq!(told.lines().count(), 1, "{told}");
-    let place = "wrong.toml, line 3, column 8: zone \"w\" is unknown; known are x, y";
-    assert!(told.trim_end().ends_with(place), "{told}");
+    let printed = String::from_utf8_lossy(&refused.stderr);
+    assert_eq!(printed.lines().count(), 1, "{printed}");
+    let message = "wrong.toml, line 3, column 8: zone \"w\" is unknown; known are x, y";
+    assert!(printed.trim_end().ends_with(message), "{printed}");
 }
 
 /// The exit code, and what was printed, for these arguments and files.
@@ -81,30 +80,37 @@
     for (option, file) in ["--config", "--policy"].iter().zip(files) {
         command.arg(option).arg(file);
     }
-    let done = command.output().expect("it runs");
+    let output = command.output().expect("it runs");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
-    (done.status.code(), text(done.stdout), text(done.stderr))
+    (
+        output.status.code(),
+        text(output.stdout),
+        text(output.stderr),
+    )
 }
 
 #[test]
-fn what_a_check_prints_keeps_its_form() {
+fn check_and_policy_print_exactly_these_lines() {
     let file = settings("good");
-    let fine = |more: &str| {
+    let checked = |more: &str| {
         let path = file.display();
         format!("{path}: fine; a block's lease is 20 s; blocks: 1{more}\n")
     };
-    let told = run(&["check"], &[&file]);
-    assert_eq!(told, (Some(0), fine(""), String::new()));
-    let on = written("good.toml", "[zone-failover]\nenabled = true\n");
+    let result = run(&["check"], &[&file]);
+    assert_eq!(result, (Some(0), checked(""), String::new()));
+    let on = write_file("good.toml", "[zone-failover]\nenabled = true\n");
     let on = on.display().to_string();
-    let told = run(&["check", "--subsystems", &on], &[&file]);
-    assert_eq!(told, (Some(0), fine("; on: zone-failover"), String::new()));
+    let result = run(&["check", "--subsystems", &on], &[&file]);
+    assert_eq!(
+        result,
+        (Some(0), checked("; on: zone-failover"), String::new())
+    );
     let policy = include_str!("../src/policy/default.policy").to_owned();
     assert_eq!(run(&["policy"], &[]), (Some(0), policy, String::new()));
 }
 
 #[test]
-fn what_is_refused_before_the_start_is_told_in_one_line_with_its_exit_code() {
+fn refused_files_print_one_line_with_their_exit_code() {
     let refused = |code, why: String| (Some(code), String::new(), format!("rockdeal: {why}\n"));
     let needed = "--config FILE is needed; see rockdeal --help".to_owned();
     assert_eq!(run(&[], &[]), refused(2, needed));
@@ -113,10 +119,10 @@
     let good = settings("with-bad-policy");
     let [missing, broken, empty, same, policy] = [
         std::env::temp_dir().join("rockdeal-none/none.json"),
-        written("broken.json", "{"),
-        written("empty.json", "{}"),
-        written("same.json", &same.to_string()),
-        written("bad.policy", "\nsilnt_s = 5;"),
+        write_file("broken.json", "{"),
+        write_file("empty.json", "{}"),
+        write_file("same.json", &same.to_string()),
+        write_file("bad.policy", "\nsilnt_s = 5;"),
     ];
     let cases: [(&[&PathBuf], &str, &PathBuf, &str); 5] = [
         (
