--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -362,3 +362,79 @@
     };
     assert_eq!(value["standing"], "cancelled");
 }
+
+/// Users read these texts in the answer to a refused submission.
+#[test]
+fn refusals_of_submissions_print_exactly_these_texts() {
+    let malformed = |field: &str, value: serde_json::Value| {
+        let mut body = body();
+        body[field] = value;
+        let refusal = JobDesc::parse(body.to_string().as_bytes()).expect_err(field);
+        SubmissionError::from(refusal).to_string()
+    };
+    let texts = [
+        ("id", serde_json::json!("job 1"), "id must be j- and digits"),
+        (
+            "hands",
+            serde_json::json!(0),
+            "hands must be from 1 to 100000",
+        ),
+        (
+            "memGb",
+            serde_json::json!(-1.0),
+            "memGb must be finite and not negative",
+        ),
+        ("crew", serde_json::json!(""), "crew is empty"),
+        (
+            "oneZone",
+            serde_json::json!(null),
+            "invalid type: null, expected a boolean",
+        ),
+    ];
+    for (field, value, text) in texts {
+        assert_eq!(malformed(field, value), text);
+    }
+    let parse = |body: &[u8]| JobDesc::parse(body).expect_err("malformed").to_string();
+    assert_eq!(parse(b"[]"), "not an object");
+    assert_eq!(
+        parse(b"{"),
+        "not JSON: EOF while parsing an object at line 1 column 1"
+    );
+
+    let settings = settings();
+    let never_runs = |change: &dyn Fn(&mut JobDesc)| {
+        let mut desc = desc("j-1", 4);
+        change(&mut desc);
+        let refusal = desc.admissible(&settings, &types()).expect_err("refused");
+        SubmissionError::from(refusal).to_string()
+    };
+    let too_many = |count: u32| (0..count).map(|number| format!("j-{number:08}").into());
+    assert_eq!(
+        never_runs(&|desc| desc.team = "green".into()),
+        "unknown team green"
+    );
+    assert_eq!(
+        never_runs(&|desc| desc.cores = 17.0),
+        "one task is over its team's limit"
+    );
+    assert_eq!(
+        never_runs(&|desc| desc.class = "x".repeat(17_000)),
+        "its description is too long to be recorded"
+    );
+    assert_eq!(
+        never_runs(&|desc| desc.dependencies = too_many(2_000).collect()),
+        "it names 2000 jobs before it, and about 1219 can be recorded"
+    );
+    assert_eq!(
+        never_runs(&|desc| desc.machine_types = Some(vec![])),
+        "a task fits no allowed machine type"
+    );
+    assert_eq!(
+        never_runs(&|desc| (desc.anti_affinity, desc.single_zone) = (true, true)),
+        "its tasks must be apart, but only one zone is allowed"
+    );
+    assert_eq!(
+        UnsatisfiableJob::UnknownDependency("j-7".into()).to_string(),
+        "it names j-7, which was never accepted"
+    );
+}
