--- a/src/api/answers.rs
+++ b/src/api/answers.rs
@@ -5,7 +5,7 @@
 
 use super::read_index::JobLookup;
 use crate::ids::{JobId, Label};
-use crate::jobs::{EndedRecord, JobState, Refusal};
+use crate::jobs::{EndedRecord, JobState, SubmissionError};
 use crate::workers::HeartbeatResponse;
 use salvo::http::StatusCode;
 use salvo::http::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
@@ -39,11 +39,11 @@
     }
 }
 
-impl From<Refusal> for ApiError {
-    fn from(refusal: Refusal) -> Self {
-        match refusal {
-            Refusal::Malformed(reason) => ApiError::Malformed(reason),
-            Refusal::NeverRuns(reason) => ApiError::NeverRuns(reason),
+impl From<SubmissionError> for ApiError {
+    fn from(error: SubmissionError) -> Self {
+        match error {
+            SubmissionError::Malformed(reason) => ApiError::Malformed(reason.to_string()),
+            SubmissionError::NeverRuns(reason) => ApiError::NeverRuns(reason.to_string()),
         }
     }
 }
@@ -77,9 +77,10 @@
 
 impl UserAnswer {
     /// A submission that is rejected for good.
-    pub(super) fn rejected_submission(refusal: Refusal) -> Self {
-        tracing::info!(?refusal, "submission rejected");
-        UserAnswer::Rejected(refusal.into())
+    pub(super) fn rejected_submission(error: impl Into<SubmissionError>) -> Self {
+        let error = error.into();
+        tracing::info!(%error, "submission rejected");
+        UserAnswer::Rejected(error.into())
     }
 
     /// The state of a job that is known to have been accepted: then a lookup that does not
--- a/src/api/connection_limiter.rs
+++ b/src/api/connection_limiter.rs
@@ -5,7 +5,7 @@
 //! the sockets that the controller needs for the store, the cloud and direct commands.
 
 use crate::settings::Settings;
-use crate::settings::sockets::Sockets;
+use crate::settings::sockets::SocketShares;
 use salvo::async_trait;
 use salvo::conn::ConnCtrl;
 use salvo::fuse::{ArcConnObserver, ConnObserver, FuseAction, FuseConfig, FuseInfo, FusePolicy};
@@ -113,8 +113,8 @@
 
 impl ConnectionLimiter {
     /// A limiter with the limits of `sockets`, without connections.
-    pub fn new(settings: &Settings, sockets: &Sockets) -> Self {
-        let heartbeat_interval_s = settings.platform.workers.report_s;
+    pub fn new(settings: &Settings, sockets: &SocketShares) -> Self {
+        let heartbeat_interval_s = settings.platform.workers.heartbeat_interval_s;
         let idle_timeout_s = (heartbeat_interval_s * IDLE_HEARTBEATS).max(MIN_IDLE_TIMEOUT_S);
         // Guards against sockets lost to machines that died or are isolated: they never
         // close what they had open, and come back on another connection.
@@ -123,9 +123,9 @@
             open: Arc::default(),
             pending: Arc::default(),
             started_at: Instant::now(),
-            max_open: sockets.served,
-            max_open_kept_alive: sockets.crowded,
-            max_pending: sockets.awaited,
+            max_open: sockets.max_served,
+            max_open_kept_alive: sockets.worker_close_threshold,
+            max_pending: sockets.max_unanswered,
             config: FuseConfig::default()
                 .with_connection_idle_timeout(idle_timeout)
                 .with_write_stall_timeout(idle_timeout),
--- a/src/api/connection_limiter/tests.rs
+++ b/src/api/connection_limiter/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::settings::tests::settings;
 
-fn connection_limiter() -> (ConnectionLimiter, Sockets) {
+fn connection_limiter() -> (ConnectionLimiter, SocketShares) {
     let settings = settings();
-    let sockets = settings.sockets().expect("enough sockets");
+    let sockets = settings.socket_shares().expect("enough sockets");
     (ConnectionLimiter::new(&settings, &sockets), sockets)
 }
 
@@ -16,7 +16,7 @@
 #[test]
 fn at_the_limit_new_connections_are_rejected_and_near_it_workers_do_not_keep_theirs() {
     let (connection_limiter, sockets) = connection_limiter();
-    let mut connections: Vec<OpenConnection> = (0..=sockets.crowded)
+    let mut connections: Vec<OpenConnection> = (0..=sockets.worker_close_threshold)
         .map(|_| answered(&connection_limiter))
         .collect();
     assert!(connection_limiter.is_near_limit());
@@ -25,10 +25,11 @@
         "users are still admitted"
     );
 
-    connections.extend((connections.len()..sockets.served).map(|_| answered(&connection_limiter)));
+    connections
+        .extend((connections.len()..sockets.max_served).map(|_| answered(&connection_limiter)));
     assert_eq!(connection_limiter.admit(), FuseAction::Reject);
 
-    connections.truncate(sockets.crowded);
+    connections.truncate(sockets.worker_close_threshold);
     assert!(matches!(connection_limiter.admit(), FuseAction::Accept(_)));
     assert!(!connection_limiter.is_near_limit());
 }
@@ -36,7 +37,7 @@
 #[test]
 fn no_more_connections_are_admitted_at_once_than_can_be_answered_in_time() {
     let (connection_limiter, sockets) = connection_limiter();
-    let mut connections: Vec<OpenConnection> = (0..sockets.awaited)
+    let mut connections: Vec<OpenConnection> = (0..sockets.max_unanswered)
         .map(|_| connection_limiter.open())
         .collect();
     assert_eq!(connection_limiter.admit(), FuseAction::Reject);
--- a/src/api/read_index.rs
+++ b/src/api/read_index.rs
@@ -236,7 +236,7 @@
     let mut done = RangeSet::default();
     for (_, _, page) in cache.progress(id) {
         for (first, end) in page.done.iter() {
-            done.add(*first, *end);
+            done.insert_range(*first..*end);
         }
         running += page.running;
     }
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -10,7 +10,7 @@
 use super::submissions::SubmitHandler;
 use crate::clock::MonotonicClock;
 use crate::settings::Settings;
-use crate::settings::sockets::Sockets;
+use crate::settings::sockets::SocketShares;
 use salvo::conn::{Listener, TcpListener};
 use salvo::prelude::{Router, Server, Service};
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 /// When the address can't be listened on.
 pub async fn serve(
     settings: Arc<Settings>,
-    sockets: &Sockets,
+    sockets: &SocketShares,
     clock: MonotonicClock,
     ports: ApiChannels,
 ) -> Result<(), ServeError> {
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -10,7 +10,7 @@
 use super::read_index::JobLookup;
 use crate::clock::wall_clock_now;
 use crate::ids::{JobId, Revision};
-use crate::jobs::{EndedRecord, JobDesc, JobRecord, JobState, Refusal};
+use crate::jobs::{EndedRecord, JobDesc, JobRecord, JobState, UnsatisfiableJob};
 use crate::partitions::FormatLevel;
 use crate::store::{self, Reply, compare, keys};
 use salvo::http::StatusCode;
@@ -170,8 +170,7 @@
             match self.was_accepted(id).await {
                 Some(true) => {}
                 Some(false) => {
-                    let reason = format!("it names {id}, which was never accepted");
-                    let refusal = Refusal::NeverRuns(reason);
+                    let refusal = UnsatisfiableJob::UnknownDependency(id.clone());
                     return Err(UserAnswer::rejected_submission(refusal));
                 }
                 None => return Err(STORE_UNREACHABLE),
--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -127,7 +127,7 @@
             max_mutations: settings.max_mutations(),
             max_value_bytes: settings.platform.state.lowest_value_bytes(),
         };
-        Autoscaler::at_start(limits, ScaleOuts::new(policy.rent_horizon))
+        Autoscaler::at_start(limits, ScaleOuts::new(policy.scale_out_horizon))
     }
 
     fn at_start(limits: WriteLimits, scale_outs: ScaleOuts) -> Self {
--- a/src/controller/core/dependencies.rs
+++ b/src/controller/core/dependencies.rs
@@ -41,7 +41,7 @@
     /// Takes in changed jobs.
     pub(super) fn sync_jobs(&mut self, now: Micros, jobs: &[JobId], cache: &WatchCache) {
         for job in jobs {
-            self.graph.sync_job(now, job, &cache.jobs);
+            self.graph.reconcile_job(now, job, &cache.jobs);
         }
     }
 
@@ -52,7 +52,7 @@
         };
         for (job, state) in ends {
             let end = JobEnd::new(*state, Some(*at), *revision);
-            self.graph.end_stored(job, end);
+            self.graph.record_end(job, end);
         }
     }
 
@@ -72,7 +72,7 @@
                 partition.update_dependencies(&self.dependencies.graph);
             }
         }
-        let reads = self.dependencies.graph.reads(now).into_iter();
+        let reads = self.dependencies.graph.take_end_reads(now).into_iter();
         out.extend(reads.map(|job| {
             let operation = StoreOperation::DependencyEnd(job.clone());
             read_ended_job(operation, &job)
@@ -87,7 +87,7 @@
         reply: &Reply,
         out: &mut Vec<Effect>,
     ) {
-        self.dependencies.graph.end_read(now, job, reply);
+        self.dependencies.graph.handle_end_read(now, job, reply);
         self.sync_dependencies(now, out);
     }
 
@@ -99,7 +99,7 @@
         revision: Revision,
         out: &mut Vec<Effect>,
     ) {
-        self.dependencies.graph.end_stored(&job, JobEnd::Cancelled);
+        self.dependencies.graph.record_end(&job, JobEnd::Cancelled);
         self.sync_dependencies(now, out);
         self.handle_cancellation(job.clone(), revision);
         out.push(Effect::Mesh(Message::Cancelled { job, revision }));
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -14,7 +14,7 @@
 use crate::mesh;
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::settings::sockets::{CLOUD_SOCKETS, STORE_SOCKETS, Sockets};
+use crate::settings::sockets::{CLOUD_SOCKETS, STORE_SOCKETS, SocketShares};
 use crate::store::client::KvClient;
 use crate::subsystems::Subsystems;
 use bytes::Bytes;
@@ -74,7 +74,9 @@
     subsystems: Subsystems,
 ) -> Result<(), ListenError> {
     let clock = MonotonicClock::start();
-    let sockets = settings.sockets().map_err(ListenError::on(settings.bind))?;
+    let sockets = settings
+        .socket_shares()
+        .map_err(ListenError::on(settings.bind))?;
     let store = store_client(&settings, clock);
     let cloud = cloud_client(&settings, clock);
     let (inputs, inbox) = mpsc::channel::<Input>(INPUT_QUEUE);
@@ -104,7 +106,7 @@
         inputs,
         peers,
         view_out,
-        workers: ConnectionPools::new(sockets.direct),
+        workers: ConnectionPools::new(sockets.direct_commands),
         heartbeat_answers: PendingAnswers::default(),
         job_lookup_answers: PendingAnswers::default(),
     };
@@ -162,7 +164,7 @@
 
 async fn listen_to_peers(
     settings: &Settings,
-    sockets: &Sockets,
+    sockets: &SocketShares,
     inputs: &mpsc::Sender<Input>,
 ) -> Result<(), ListenError> {
     let listener = TcpListener::bind(settings.mesh_addr)
--- a/src/controller/tests/formats.rs
+++ b/src/controller/tests/formats.rs
@@ -8,7 +8,7 @@
 use crate::cloud::{MachineType, ScaleOutRecord};
 use crate::ids::{JobId, Label, LeaseId, Revision, Term};
 use crate::jobs::tests::desc;
-use crate::jobs::{EndedRecord, JobRecord, JobState, ProgressRecord, page_tasks};
+use crate::jobs::{EndedRecord, JobRecord, JobState, ProgressRecord, tasks_per_page};
 use crate::mesh::{self, Message};
 use crate::partitions::{
     FormatLevel, FormatRecord, LeaderRecord, MachineRecord, MemberRecord, PartitionOwnerRecord,
@@ -98,7 +98,11 @@
 fn progress_pages_have_the_length_of_production() {
     for page in production()["page_tasks"].as_array().expect("a list") {
         let value_kb = page["value_kb"].as_f64().expect("a size");
-        assert_eq!(json!(page_tasks(value_kb)), page["tasks"], "{value_kb} KiB");
+        assert_eq!(
+            json!(tasks_per_page(value_kb)),
+            page["tasks"],
+            "{value_kb} KiB"
+        );
     }
 }
 
--- a/src/controller/tests/scale.rs
+++ b/src/controller/tests/scale.rs
@@ -2,7 +2,7 @@
 
 use super::simulation::{Simulation, TaskAttempt, secs};
 use crate::jobs::tests::desc;
-use crate::jobs::{JobState, Priority, page_tasks};
+use crate::jobs::{JobState, Priority, tasks_per_page};
 use serde_json::Value;
 
 /// The interval in microseconds at which an owner runs its scheduler.
@@ -66,7 +66,7 @@
 fn ended_tasks_are_reaped_page_by_page_while_others_end() {
     let mut simulation = Simulation::new(1, 1);
     simulation.advance(6.0);
-    let page = page_tasks(simulation.controllers[0].settings.platform.state.value_kb);
+    let page = tasks_per_page(simulation.controllers[0].settings.platform.state.value_kb);
     let pages = 6;
     let mut array = desc("j-1", pages * page);
     (array.cores, array.memory_gb) = (0.003, 0.01);
--- a/src/controller/tests/simulation/controller.rs
+++ b/src/controller/tests/simulation/controller.rs
@@ -56,8 +56,8 @@
     pub fn start(&mut self, now: Micros, idle_release_after: Micros) {
         // Nothing idle is released here, unless a test wants it.
         let mut policy = standard();
-        policy.idle_return = idle_release_after;
-        policy.idle_return_ordinary = idle_release_after;
+        policy.spot_idle_timeout = idle_release_after;
+        policy.on_demand_idle_timeout = idle_release_after;
         let core = Core::new(self.settings.clone(), Rc::new(policy), now);
         self.core = Some(core.with_subsystems(&self.subsystems));
         self.has_listed_store = false;
@@ -339,7 +339,11 @@
 
     /// The time in seconds within which a cancelled job's tasks have ended.
     pub fn cancel_timeout_s(&self) -> f64 {
-        self.controllers[0].settings.platform.workers.cancel_s
+        self.controllers[0]
+            .settings
+            .platform
+            .workers
+            .cancellation_timeout_s
     }
 
     /// The time in seconds after which an unanswered worker ends its tasks.
--- a/src/partition_owner/attempt_events.rs
+++ b/src/partition_owner/attempt_events.rs
@@ -18,7 +18,7 @@
         match event {
             AttemptEvent::Started(key) => {
                 if let Some(job) = self.jobs.get_mut(&key.task.job) {
-                    job.runs(key.task.index);
+                    job.mark_running(key.task.index);
                     self.job_writes.mark_dirty(&key.task.job);
                 }
             }
@@ -71,16 +71,17 @@
         let Some(job) = self.jobs.get_mut(&key.task.job) else {
             return false;
         };
-        let is_free =
-            index < job.desc.tasks && !job.done.contains(index) && !job.active.contains_key(&index);
+        let is_free = index < job.desc.tasks
+            && !job.done().contains(index)
+            && !job.active().contains_key(&index);
         if is_free && phase != AttemptPhase::Exited {
             job.start(index, on.clone());
             if phase == AttemptPhase::Running {
-                job.runs(index);
+                job.mark_running(index);
             }
             self.job_writes.mark_dirty(&key.task.job);
         }
-        is_free || job.active.get(&index) == Some(on) && phase == AttemptPhase::Exited
+        is_free || job.active().get(&index) == Some(on) && phase == AttemptPhase::Exited
     }
 
     fn handle_attempt_end(
@@ -103,7 +104,7 @@
         let Some(job) = self.jobs.get_mut(&key.task.job) else {
             return;
         };
-        job.succeeded();
+        job.clear_failures();
         if let Some(machine) = self.machines.get_mut(on) {
             machine.failures.clear();
         }
@@ -127,16 +128,15 @@
         let Some(job) = self.jobs.get_mut(&key.task.job).filter(|_| is_failure) else {
             return;
         };
-        job.failures += 1;
-        job.failed_on.insert(on.clone());
+        job.record_failure(on.clone());
         // One job that fails everywhere says nothing about machines, so it waits longer each
         // time; several that fail on one machine quarantine it.
-        if job.fails() {
+        if job.is_failing() {
             self.scheduling.add_failing_job(&key.task.job);
             job.back_off(now);
         }
         machine.failures.record(key.task.job.clone(), now);
-        let fails_elsewhere = |id: &JobId| self.jobs.get(id).is_some_and(|job| job.fails());
+        let fails_elsewhere = |id: &JobId| self.jobs.get(id).is_some_and(|job| job.is_failing());
         let failed_jobs = machine.failures.jobs();
         let failed_here = failed_jobs.filter(|id| !fails_elsewhere(id)).count();
         if failed_here >= QUARANTINE_FAILED_JOBS && machine.is_schedulable() {
--- a/src/partition_owner/capacity.rs
+++ b/src/partition_owner/capacity.rs
@@ -18,7 +18,7 @@
         placement::capacity_requests(
             &self.snapshot(now, wall_clock, fleet),
             &self.booting_machines(),
-            self.policy.rent_horizon,
+            self.policy.scale_out_horizon,
         )
     }
 
@@ -64,7 +64,7 @@
         let booting: f64 = machines().filter(is_booting).map(cores).sum();
         let mut waiting: BTreeMap<&str, u32> = BTreeMap::new();
         for job in self.jobs.values().filter(|job| job.wants_machines()) {
-            *waiting.entry(&job.desc.class).or_default() += job.waiting.len();
+            *waiting.entry(&job.desc.class).or_default() += job.waiting().len();
         }
         let bound_to_lost_zones = self.tasks_bound_to_lost_zones();
         let behind_others = self.jobs.values().filter(|job| !job.is_ready()).count();
--- a/src/partition_owner/failback.rs
+++ b/src/partition_owner/failback.rs
@@ -226,7 +226,7 @@
 fn may_be_moved(job: &Job, attempt: &Attempt) -> bool {
     !job.desc.single_zone
         && !job.desc.anti_affinity
-        && !job.ended
+        && !job.is_ended()
         && !attempt.is_stopping()
         && !attempt.is_abandoned()
         && matches!(attempt.phase, AttemptPhase::Pulling | AttemptPhase::Running)
--- a/src/partition_owner/idle_release.rs
+++ b/src/partition_owner/idle_release.rs
@@ -84,9 +84,9 @@
 
     fn max_idle(&self, machine: &Machine) -> Micros {
         if machine.spec.spot {
-            self.policy.idle_return
+            self.policy.spot_idle_timeout
         } else {
-            self.policy.idle_return_ordinary
+            self.policy.on_demand_idle_timeout
         }
     }
 
--- a/src/partition_owner/job_writes.rs
+++ b/src/partition_owner/job_writes.rs
@@ -31,20 +31,20 @@
     pub fn take_writes(&mut self, now: Micros, wall_clock: Micros) -> Vec<Effect> {
         let (mut ended, mut progress) = (Vec::new(), Vec::new());
         for id in self.job_writes.dirty_jobs() {
-            let Some(job) = self.jobs.get(&id).filter(|job| !job.ended) else {
+            let Some(job) = self.jobs.get(&id).filter(|job| !job.is_ended()) else {
                 self.job_writes.clear_dirty(&id);
                 continue;
             };
             if !job.wants_write(now) {
-                if !job.writing && now >= job.write_after {
+                if job.may_write(now) {
                     self.job_writes.clear_dirty(&id);
                 }
-            } else if job.is_over() {
+            } else if job.is_terminal() {
                 ended.push(id);
             } else {
                 progress.push(DueProgress {
-                    only_display: job.only_display(),
-                    write_after: job.write_after,
+                    only_display: job.has_only_display_changes(),
+                    write_after: job.next_write_at(),
                     job: id,
                 });
             }
@@ -71,11 +71,12 @@
             if transaction.remaining_mutations() < MIN_END_MUTATIONS {
                 break;
             }
-            let (compares, mutations) = job.end_ops(wall_clock, transaction.remaining_mutations());
+            let (compares, mutations) =
+                job.end_transaction(wall_clock, transaction.remaining_mutations());
             transaction.append(compares, mutations, 0);
-            job.writing = true;
+            job.begin_write();
             reap.extend(self.job_writes.take_unreaped(&id));
-            ends.push((id, job.end_standing()));
+            ends.push((id, job.terminal_state()));
         }
         let is_empty = ends.is_empty();
         let write = Write::Ends {
@@ -106,16 +107,19 @@
                 break;
             }
             let max_pages = transaction.remaining_mutations().min(MAX_PAGES_PER_JOB);
-            let (compares, mutations, pages) = job.progress_ops(&self.settings.label, max_pages);
-            if pages.is_empty() {
+            let progress = job.progress_transaction(&self.settings.label, max_pages);
+            if progress.record_numbers.is_empty() {
                 continue;
             }
-            let bytes = mutations.iter().map(mutation_size).sum();
-            transaction.append(compares, mutations, bytes);
-            job.writing = true;
-            job.write_after = now + PROGRESS_WRITE_INTERVAL;
+            let bytes = progress.mutations.iter().map(mutation_size).sum();
+            transaction.append(progress.compares, progress.mutations, bytes);
+            job.begin_write();
+            job.delay_writes_until(now + PROGRESS_WRITE_INTERVAL);
             reap.extend(self.job_writes.take_stored(job));
-            jobs.push(ProgressPages { job: id, pages });
+            jobs.push(ProgressPages {
+                job: id,
+                pages: progress.record_numbers,
+            });
         }
         (!jobs.is_empty()).then(|| transaction.into_effect(Write::Progress { jobs, reap }))
     }
@@ -129,7 +133,7 @@
                     if let Some(job) = self.jobs.get_mut(id)
                         && matches!(reply, Reply::Committed(_))
                     {
-                        job.ended = true;
+                        job.mark_ended();
                         tracing::info!(partition = %self.id(), job = %id, ?state, "job ended");
                     }
                 }
@@ -150,11 +154,11 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.writing = false;
+        job.finish_write();
         match reply {
             Reply::Committed(revision) => {
                 for page in pages {
-                    job.page_changed(*page, *revision);
+                    job.set_page_revision(*page, *revision);
                 }
             }
             // A job's record never changes while the job lives: it was cancelled, or
@@ -164,8 +168,8 @@
             // Not carried out, or perhaps late: either way the revisions decide, and the
             // watch brings them.
             _ => {
-                job.unwritten(pages);
-                job.write_after = now + WRITE_RETRY_INTERVAL;
+                job.mark_unwritten(pages);
+                job.delay_writes_until(now + WRITE_RETRY_INTERVAL);
                 self.job_writes.mark_dirty(id);
             }
         }
--- a/src/partition_owner/machine_health.rs
+++ b/src/partition_owner/machine_health.rs
@@ -36,7 +36,7 @@
 impl OwnedPartition {
     /// The time of so many heartbeats of one machine.
     pub(super) fn heartbeat_intervals(&self, count: f64) -> Micros {
-        Micros::from_secs(self.settings.platform.workers.report_s * count)
+        Micros::from_secs(self.settings.platform.workers.heartbeat_interval_s * count)
     }
 
     /// How long after its last heartbeat a machine may still be sent tasks.
@@ -46,7 +46,7 @@
 
     /// After this silence a machine is released.
     pub(super) fn release_timeout(&self) -> Micros {
-        self.policy.silent.max(self.heartbeat_timeout())
+        self.policy.silence_timeout.max(self.heartbeat_timeout())
     }
 
     /// How long a machine that sends heartbeats regularly may be without contact.
--- a/src/partition_owner/mod.rs
+++ b/src/partition_owner/mod.rs
@@ -145,8 +145,8 @@
 
     /// The store has cancelled a job: nothing more of it starts.
     pub fn cancel_job(&mut self, id: &JobId) {
-        if let Some(job) = self.jobs.get_mut(id).filter(|job| !job.ended) {
-            job.ended = true;
+        if let Some(job) = self.jobs.get_mut(id).filter(|job| !job.is_ended()) {
+            job.mark_ended();
             self.stop_job(id);
             self.scheduling.request_pass();
         }
@@ -169,7 +169,7 @@
     /// An attempt ended without a result.
     fn requeue(&mut self, key: &AttemptKey, on: &MachineId) {
         if let Some(job) = self.jobs.get_mut(&key.task.job)
-            && job.active.get(&key.task.index) == Some(on)
+            && job.active().get(&key.task.index) == Some(on)
         {
             job.requeue(key.task.index);
             self.job_writes.mark_dirty(&key.task.job);
--- a/src/partition_owner/reconcile.rs
+++ b/src/partition_owner/reconcile.rs
@@ -7,7 +7,7 @@
 use crate::fairness::Resources;
 use crate::ids::{JobId, MachineId, Revision};
 use crate::jobs::dependencies::{DependencyGraph, Readiness};
-use crate::jobs::{Job, JobRecord, page_tasks};
+use crate::jobs::{Job, JobRecord, tasks_per_page};
 use crate::partitions::MachineRecord;
 use crate::watch_cache::WatchCache;
 use crate::workers::{Machine, MachineSpec};
@@ -158,7 +158,7 @@
         };
         self.scheduling.request_pass();
         self.job_writes.take_unreaped(id);
-        if !job.ended {
+        if !job.is_ended() {
             tracing::info!(partition = %self.id(), job = %id, "job cancelled");
         }
         self.stop_job(id);
@@ -173,12 +173,12 @@
             return;
         }
         let limits = &self.settings.platform.state;
-        let mut job = Job::new(record, revision, team, page_tasks(limits.value_kb));
-        job.limit_values(limits.lowest_value_bytes());
+        let mut job = Job::new(record, revision, team, tasks_per_page(limits.value_kb));
+        job.limit_value_bytes(limits.lowest_value_bytes());
         job.start_latency_objective = self.settings.start_latency_objective(&record.desc.class);
-        job.choose(self.policy.job(&record.desc));
+        job.apply_policy(self.policy.choice_for(&record.desc));
         for (page, revision, progress) in cache.progress(id) {
-            job.recall(page, revision, progress);
+            job.restore_progress(page, revision, progress);
         }
         // A job whose last task was stored but not its end is ended by us.
         self.job_writes.mark_dirty(id);
@@ -190,9 +190,9 @@
     /// with a job that they depend on, and what they inherit from those that depend on them.
     pub fn update_dependencies(&mut self, graph: &DependencyGraph) {
         for (id, job) in &mut self.jobs {
-            let is_changed = job.inherit(graph.inherited(id));
+            let is_changed = job.set_inherited(graph.inherited(id));
             self.scheduling.request_pass_if(is_changed);
-            if job.desc.dependencies.is_empty() || job.ended {
+            if job.desc.dependencies.is_empty() || job.is_ended() {
                 continue;
             }
             let readiness = graph.readiness(id);
@@ -222,7 +222,7 @@
         if let Some((revision, _)) = cache.progress_pages.get(&(id.clone(), page))
             && let Some(job) = self.jobs.get_mut(id)
         {
-            job.page_changed(page, *revision);
+            job.set_page_revision(page, *revision);
         }
     }
 }
--- a/src/partition_owner/scheduling.rs
+++ b/src/partition_owner/scheduling.rs
@@ -163,8 +163,8 @@
             return false;
         };
         job.start(index, machine_id.clone());
-        job.last_start = wall_clock;
-        if job.fails() {
+        job.last_start_at = wall_clock;
+        if job.is_failing() {
             // Until these have ended, no others of it are tried.
             job.back_off(now);
         }
--- a/src/partition_owner/scheduling_state.rs
+++ b/src/partition_owner/scheduling_state.rs
@@ -76,14 +76,16 @@
     /// Forgets jobs that don't fail any more.
     pub(super) fn retain_failing_jobs(&mut self, jobs: &BTreeMap<JobId, Job>) {
         self.failing_jobs
-            .retain(|id| jobs.get(id).is_some_and(Job::fails));
+            .retain(|id| jobs.get(id).is_some_and(Job::is_failing));
     }
 
     /// What the tasks of failing jobs take, by team.
     pub(super) fn failing_demand(&self, jobs: &BTreeMap<JobId, Job>) -> Vec<(usize, Resources)> {
         let known = self.failing_jobs.iter().filter_map(|id| jobs.get(id));
-        let failing = known.filter(|job| job.fails());
-        failing.map(|job| (job.team, job.failing())).collect()
+        let failing = known.filter(|job| job.is_failing());
+        failing
+            .map(|job| (job.team, job.failing_resources()))
+            .collect()
     }
 
     /// Something changed that the next pass should take in.
--- a/src/partition_owner/zone_counts.rs
+++ b/src/partition_owner/zone_counts.rs
@@ -49,7 +49,7 @@
         let is_bound =
             |job: &&Job| job.wants_machines() && job.desc.zone.as_ref().is_some_and(is_lost);
         let bound = self.jobs.values().filter(is_bound);
-        bound.map(|job| job.waiting.len()).sum()
+        bound.map(|job| job.waiting().len()).sum()
     }
 
     /// Whether silence says something about machines: not if it may be our own.
