--- a/crates/rockdeal-types/src/clock.rs
+++ b/crates/rockdeal-types/src/clock.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// The process's steady clock. The cores never read it: they are told the time.
+/// The process's monotonic clock. The cores never read it: the time is passed to them.
 #[derive(Debug, Clone, Copy)]
 pub struct MonotonicClock(std::time::Instant);
 
--- a/crates/rockdeal-types/src/ids.rs
+++ b/crates/rockdeal-types/src/ids.rs
@@ -81,7 +81,7 @@
     Revision
 );
 number!(
-    /// What a worker compares: a machine's term above, the holder's own epoch below.
+    /// What a worker compares: a machine's term above, the owner's own epoch below.
     FencingToken
 );
 number!(
@@ -93,7 +93,7 @@
     LeaseId
 );
 number!(
-    /// A block of machines and the teams whose work runs on them.
+    /// A partition: machines and the teams whose work runs on them.
     PartitionId
 );
 
@@ -104,11 +104,11 @@
     }
 }
 
-/// How many epochs a holder has below each term.
+/// How many epochs an owner has below each term.
 const EPOCH_BITS: u32 = 20;
 
 impl FencingToken {
-    /// Epochs let a holder fence its own delayed commands without asking anyone:
+    /// Epochs let an owner fence its own delayed commands without asking anyone:
     /// its term stays above every older one whatever the epoch.
     pub fn of(term: Term, epoch: u64) -> FencingToken {
         FencingToken((term.0 << EPOCH_BITS) | epoch.min((1 << EPOCH_BITS) - 1))
--- a/crates/zone-failover/src/evacuation.rs
+++ b/crates/zone-failover/src/evacuation.rs
@@ -11,7 +11,7 @@
 /// The place of a displaced job among the others, by the operators' expression.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EvacuationPriority {
-    /// Its wave has come: it goes before those whose has not, so that what was rented for a
+    /// Its wave has come: it goes before those whose has not, so that what was scaled out for a
     /// wave is not taken by the next one.
     pub admitted: bool,
     /// What the expression gives: higher goes first.
--- a/crates/zone-failover/src/health.rs
+++ b/crates/zone-failover/src/health.rs
@@ -47,7 +47,7 @@
     }
 
     /// Adds what another controller sees. Each machine is in one controller's partitions; the
-    /// controllers of a zone are seen by all, and one that any controller hears is alive.
+    /// controllers of a zone are seen by all, and one whose frames reach any controller is alive.
     pub fn add(&mut self, counts: &ZoneCounts) {
         self.machines = self.machines.saturating_add(counts.machines);
         self.silent = self.silent.saturating_add(counts.silent);
@@ -84,7 +84,7 @@
 /// What the evidence of one moment says about a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// Nothing, or too little to tell.
+    /// Nothing, or too little for a decision.
     Unknown,
     /// The heartbeats of nearly all of its machines arrive.
     Up,
--- a/crates/zone-failover/src/leader/mod.rs
+++ b/crates/zone-failover/src/leader/mod.rs
@@ -84,7 +84,7 @@
     Open,
     /// None.
     Closed,
-    /// One machine, to see whether the zone is back: nothing of it is left that would tell.
+    /// One machine, to see whether the zone is back: nothing of it is left that would give evidence.
     Probe,
 }
 
@@ -239,7 +239,7 @@
         if known.clone().count() > 1 && known.clone().all(|condition| *condition == Condition::Down)
         {
             // Guards against evacuating everything: that all zones are lost at once can't be
-            // told from a fault of the observers, and there is nowhere to go.
+            // distinguished from a fault of the observers, and there is nowhere to go.
             return BTreeMap::new();
         }
         conditions
@@ -318,7 +318,7 @@
             ZoneState::Healthy => ScaleOutAccess::Open,
             ZoneState::Probation if probation_left <= SCALE_OUT_LEAD_TIME => ScaleOutAccess::Open,
             // Guards against a zone that stays in its state for ever, whichever it is: with
-            // its last machine returned, nothing tells of it any more.
+            // its last machine returned, there is no evidence about it any more.
             _ if is_unseen && !zone.declared => ScaleOutAccess::Probe,
             _ => ScaleOutAccess::Closed,
         }
--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -15,8 +15,6 @@
 //! Nothing here decides that a task has ended. That stays with leases, fencing tokens and the
 //! stored ends: a wrong opinion about a zone costs time, and never runs a task twice.
 
-#![warn(missing_docs)]
-
 pub mod evacuation;
 pub mod evidence;
 pub mod failback;
--- a/crates/zone-failover/tests/evacuation.rs
+++ b/crates/zone-failover/tests/evacuation.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Whatever machines go silent, in whatever order holders look: at most a wave's number
+    /// Whatever machines go silent, in whatever order owners check: at most a wave's number
     /// is given up for each wave, and the most important ones first.
     #[test]
     fn waves_are_bounded_and_take_the_most_important_first(
@@ -164,7 +164,7 @@
     assert_eq!(admitted(&waves), [true; 3], "the zone is back");
 }
 
-/// Guards against a burst after a take-over: the number of the wave is no allowance.
+/// Guards against a burst after a failover: the number of the wave is no allowance.
 #[test]
 fn a_holder_that_finds_a_late_wave_allows_itself_one() {
     let mut waves = Waves::new(WaveSettings {
--- a/src/api/cancellations.rs
+++ b/src/api/cancellations.rs
@@ -10,7 +10,7 @@
 use crate::clock::wall_clock_now;
 use crate::ids::{JobId, Revision};
 use crate::jobs::{EndedRecord, JobState};
-use crate::store::{self, Reply, compare, keys};
+use crate::store::{self, Compare, Mutation, Reply, keys};
 use salvo::http::StatusCode;
 use salvo::prelude::{Request, Response, handler};
 
@@ -81,12 +81,12 @@
 fn cancellation(id: &JobId, revision: Revision, ended: &EndedRecord) -> store::Request {
     store::Request::CompareAndSwap {
         compares: vec![
-            compare(keys::job(id), revision),
-            compare(keys::ended(id), Revision(0)),
+            Compare::new(keys::job(id), revision),
+            Compare::new(keys::ended(id), Revision(0)),
         ],
         mutations: vec![
-            store::delete(keys::job(id)),
-            store::put(keys::ended(id), ended),
+            Mutation::delete(keys::job(id)),
+            Mutation::put(keys::ended(id), ended),
         ],
     }
 }
--- a/src/api/context.rs
+++ b/src/api/context.rs
@@ -2,7 +2,7 @@
 //! the requests that are sent over them.
 //!
 //! Owns the timeouts of these requests. A full channel is never waited for: the request is
-//! refused at once, and its user told when to retry.
+//! refused at once, and the answer says when to retry.
 
 use super::ports::{ApiChannels, StatusQuery, StoreQuery};
 use super::read_index::JobLookup;
--- a/src/api/read_index.rs
+++ b/src/api/read_index.rs
@@ -14,7 +14,7 @@
 use crate::jobs::dependencies::DependencyGraph;
 use crate::jobs::ranges::RangeSet;
 use crate::jobs::{EndedRecord, Footprint, JobState};
-use crate::store::Reply;
+use crate::store::{Reply, Versioned};
 use crate::watch_cache::WatchCache;
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, VecDeque};
@@ -231,7 +231,7 @@
 }
 
 fn live_job(id: &JobId, cache: &WatchCache) -> Option<JobLookup> {
-    let (revision, record) = cache.jobs.get(id)?;
+    let Versioned { revision, record } = cache.jobs.get(id)?;
     let mut running = 0;
     let mut done = RangeSet::default();
     for (_, _, page) in cache.progress(id) {
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -12,7 +12,7 @@
 use crate::ids::{JobId, Revision};
 use crate::jobs::{EndedRecord, JobDesc, JobRecord, JobState, UnsatisfiableJob};
 use crate::partitions::FormatLevel;
-use crate::store::{self, Reply, compare, keys};
+use crate::store::{self, Compare, Mutation, Reply, keys};
 use salvo::http::StatusCode;
 use salvo::prelude::{Request, Response, handler};
 use std::time::Duration;
@@ -118,15 +118,15 @@
         };
         let owner_key = keys::partition_owner(team.partition);
         let compares = vec![
-            compare(keys::job(&job.id), Revision(0)),
-            compare(keys::ended(&job.id), Revision(0)),
+            Compare::new(keys::job(&job.id), Revision(0)),
+            Compare::new(keys::ended(&job.id), Revision(0)),
             // Under this grant: a later owner knows whether an earlier one can have
             // started it.
-            compare(owner_key.clone(), team.owner_revision),
+            Compare::new(owner_key.clone(), team.owner_revision),
         ];
         let request = store::Request::CompareAndSwap {
             compares,
-            mutations: vec![store::put(keys::job(&job.id), &record)],
+            mutations: vec![Mutation::put(keys::job(&job.id), &record)],
         };
         match self.execute(request).await {
             Reply::Committed(_) => WriteOutcome::Accepted,
--- a/src/api/tests/heartbeats.rs
+++ b/src/api/tests/heartbeats.rs
@@ -2,7 +2,7 @@
 use crate::clock::Micros;
 use serde_json::json;
 
-/// A standstill between the decision and the bytes: the lease may have expired.
+/// A pause of the process between the decision and the bytes: the lease may have expired.
 #[tokio::test]
 async fn an_answer_to_a_heartbeat_does_not_leave_after_its_lease_expired() {
     let heartbeat = json!({"rig": "m-1", "addr": "a:1", "build": "big", "yard": "x", "loaners": false,
--- a/src/autoscaler/releases.rs
+++ b/src/autoscaler/releases.rs
@@ -6,6 +6,7 @@
 use crate::cloud::{CloudMachine, CloudRequest, InstanceState};
 use crate::ids::{MachineId, PartitionId};
 use crate::partitions::ReleaseReason;
+use crate::store::Versioned;
 use crate::watch_cache::WatchCache;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -176,7 +177,7 @@
     let is_current = |partition, term| {
         owners
             .get(partition)
-            .is_some_and(|(_, owner)| owner.term == term)
+            .is_some_and(|Versioned { record: owner, .. }| owner.term == term)
     };
     let states = fleet.partition_states.iter();
     let recent = states.filter(|(partition, state)| {
--- a/src/autoscaler/scale_outs.rs
+++ b/src/autoscaler/scale_outs.rs
@@ -8,7 +8,7 @@
 use crate::fairness::Resources;
 use crate::ids::{MachineId, PartitionId, Revision};
 use crate::mesh::PartitionState;
-use crate::store::{self, Compare, Reply, compare, keys};
+use crate::store::{Compare, Mutation, Reply, Versioned, keys};
 use crate::watch_cache::WatchCache;
 use std::collections::BTreeMap;
 
@@ -125,7 +125,7 @@
 
     /// Scale-outs that an earlier leader recorded are repeated under their names.
     pub(super) fn adopt_recorded(&mut self, now: Micros, cache: &WatchCache) {
-        for (name, (_, record)) in &cache.scale_outs {
+        for (name, Versioned { record, .. }) in &cache.scale_outs {
             self.by_name
                 .entry(name.clone())
                 .or_insert_with(|| ScaleOut {
@@ -167,7 +167,7 @@
                 }
                 ScaleOutState::Refused => {
                     // Only if it is recorded; else there is nothing to delete.
-                    if let Some((revision, _)) = fleet.cache.scale_outs.get(name) {
+                    if let Some(Versioned { revision, .. }) = fleet.cache.scale_outs.get(name) {
                         entry.state = ScaleOutState::Deleting;
                         effects.push(deletion(fleet.leader, name, *revision));
                     }
@@ -207,8 +207,8 @@
         self.by_name.insert(name.clone(), entry);
         let key = keys::scale_out(&name);
         Effect::CompareAndSwap {
-            compares: vec![leader.clone(), compare(key.clone(), Revision(0))],
-            mutations: vec![store::put(key, &record)],
+            compares: vec![leader.clone(), Compare::new(key.clone(), Revision(0))],
+            mutations: vec![Mutation::put(key, &record)],
             write: Write::RecordScaleOut { name, record },
         }
     }
@@ -279,7 +279,7 @@
     let key = keys::scale_out(name);
     Effect::CompareAndSwap {
         write: Write::DeleteScaleOut { name: name.into() },
-        compares: vec![leader.clone(), compare(key.clone(), revision)],
-        mutations: vec![store::delete(key)],
+        compares: vec![leader.clone(), Compare::new(key.clone(), revision)],
+        mutations: vec![Mutation::delete(key)],
     }
 }
--- a/src/autoscaler/shard_transaction.rs
+++ b/src/autoscaler/shard_transaction.rs
@@ -3,7 +3,7 @@
 use super::shard_writes::WriteLimits;
 use crate::ids::{MachineId, PartitionId};
 use crate::partitions::{MachineRecord, ShardRecord};
-use crate::store::MAX_TRANSACTION_BYTES;
+use crate::store::{MAX_TRANSACTION_BYTES, Versioned};
 use crate::watch_cache::WatchCache;
 use std::collections::BTreeMap;
 
@@ -45,7 +45,11 @@
     /// The shard as it is changed; nothing if it cannot be changed in this transaction.
     fn shard(&mut self, key: ShardKey, other_mutations: usize) -> Option<&mut ShardRecord> {
         if !self.shards.contains_key(&key) {
-            let recorded = self.cache.machine_shards.get(&key).map(|(_, shard)| shard);
+            let recorded = self
+                .cache
+                .machine_shards
+                .get(&key)
+                .map(|Versioned { record: shard, .. }| shard);
             // One that is too large to be written is split first, in a write of its own.
             let is_oversize =
                 recorded.is_some_and(|shard| shard.is_oversize(self.limits.max_value_bytes));
@@ -64,7 +68,7 @@
             self.cache
                 .machine_shards
                 .get(&key)
-                .map(|(_, shard)| &**shard)
+                .map(|Versioned { record: shard, .. }| &**shard)
         };
         let shard = changed.or_else(recorded);
         shard.is_none_or(|shard| shard.has_room(machine, self.limits.max_value_bytes))
--- a/src/autoscaler/shard_update.rs
+++ b/src/autoscaler/shard_update.rs
@@ -15,7 +15,7 @@
 use crate::ids::{MachineId, PartitionId};
 use crate::leader::{TermAllocation, allocate_terms};
 use crate::partitions::{MachineRecord, ReleaseReason};
-use crate::store::{self, Compare, Mutation, compare, keys};
+use crate::store::{Compare, Mutation, keys};
 use crate::watch_cache::WatchCache;
 use std::collections::BTreeSet;
 
@@ -166,12 +166,12 @@
         let mut mutations: Vec<Mutation> = self
             .completed_scale_outs
             .iter()
-            .map(|name| store::delete(keys::scale_out(name)))
+            .map(|name| Mutation::delete(keys::scale_out(name)))
             .collect();
         for (shard, machines) in self.shards.into_shards() {
             let key = keys::shard(shard.0, shard.1);
-            compares.push(compare(key.clone(), self.cache.shard_revision(shard)));
-            mutations.push(store::put(key, &machines));
+            compares.push(Compare::new(key.clone(), self.cache.shard_revision(shard)));
+            mutations.push(Mutation::put(key, &machines));
         }
         if mutations.is_empty() {
             return None;
--- a/src/autoscaler/shard_writes.rs
+++ b/src/autoscaler/shard_writes.rs
@@ -10,7 +10,7 @@
 use crate::ids::{MachineId, Revision};
 use crate::leader::allocate_terms;
 use crate::partitions::{ReleaseReason, write_parts};
-use crate::store::Reply;
+use crate::store::{Reply, Versioned};
 use crate::watch_cache::WatchCache;
 use std::collections::BTreeSet;
 
@@ -145,11 +145,26 @@
         } = self.limits;
         let shards = fleet.cache.machine_shards.iter();
         let ((partition, shard), revision, parts) = shards
-            .filter(|(_, (_, machines))| machines.is_oversize(max_value_bytes))
-            .map(|(key, (revision, machines))| {
-                let parts = (**machines).clone().split(max_value_bytes);
-                (*key, *revision, parts)
-            })
+            .filter(
+                |(
+                    _,
+                    Versioned {
+                        record: machines, ..
+                    },
+                )| machines.is_oversize(max_value_bytes),
+            )
+            .map(
+                |(
+                    key,
+                    Versioned {
+                        revision,
+                        record: machines,
+                    },
+                )| {
+                    let parts = (**machines).clone().split(max_value_bytes);
+                    (*key, *revision, parts)
+                },
+            )
             .find(|(.., parts)| parts.len() <= max_mutations)?;
         self.last_split_at = now;
         tracing::info!(%partition, shard, parts = parts.len(), "shard split");
--- a/src/controller/core/api_view.rs
+++ b/src/controller/core/api_view.rs
@@ -9,7 +9,7 @@
 use crate::controller::messages::Effect;
 use crate::ids::{JobId, Revision, Term};
 use crate::leader;
-use crate::store::Reply;
+use crate::store::{Reply, Versioned};
 use std::sync::Arc;
 
 /// Time alone changes the view, too: it is computed again so often.
@@ -65,8 +65,8 @@
                 let grant = cache.partition_owners.get(&partition);
                 TeamPartition {
                     partition,
-                    owner_revision: grant.map_or(Revision(0), |(revision, _)| *revision),
-                    term: grant.map_or(Term(0), |(_, record)| record.term),
+                    owner_revision: grant.map_or(Revision(0), |versioned| versioned.revision),
+                    term: grant.map_or(Term(0), |Versioned { record, .. }| record.term),
                 }
             })
             .collect()
--- a/src/controller/core/autoscaling.rs
+++ b/src/controller/core/autoscaling.rs
@@ -57,7 +57,7 @@
     /// The revision of the leader's key, which names a leadership.
     fn leader_revision(&self) -> Option<Revision> {
         let leader = self.store.cache().leader.as_ref();
-        leader.map(|(revision, _)| *revision)
+        leader.map(|versioned| versioned.revision)
     }
 }
 
--- a/src/controller/core/format_level.rs
+++ b/src/controller/core/format_level.rs
@@ -10,7 +10,7 @@
 use crate::controller::messages::{Effect, StoreOperation};
 use crate::ids::{Label, Revision};
 use crate::partitions::{FormatLevel, FormatRecord};
-use crate::store::{self, Compare, Reply, compare, keys};
+use crate::store::{Compare, Mutation, Reply, keys};
 use std::collections::BTreeMap;
 
 /// So many conditions for each change that a transaction may have.
@@ -56,17 +56,19 @@
         if !self.in_flight.begin_request(now, RequestKind::FormatLevel) {
             return;
         }
-        let revision = cache.format.map_or(Revision(0), |(revision, _)| revision);
-        let mut compares = vec![leader.clone(), compare(keys::FORMAT.into(), revision)];
+        let revision = cache
+            .format
+            .map_or(Revision(0), |versioned| versioned.revision);
+        let mut compares = vec![leader.clone(), Compare::new(keys::FORMAT.into(), revision)];
         // As many controllers as a transaction can name must be as they were seen.
         let max_members = COMPARES_PER_MUTATION * settings.max_mutations() - compares.len();
         compares.extend(settings.controllers().take(max_members).map(|label| {
             let member = cache.members.get(label);
-            let revision = member.map_or(Revision(0), |(revision, _)| *revision);
-            compare(keys::member(label), revision)
+            let revision = member.map_or(Revision(0), |versioned| versioned.revision);
+            Compare::new(keys::member(label), revision)
         }));
         tracing::info!(level = level.0, "format level agreed");
-        let mutations = vec![store::put(keys::FORMAT.into(), &FormatRecord { level })];
+        let mutations = vec![Mutation::put(keys::FORMAT.into(), &FormatRecord { level })];
         out.push(critical_write(
             StoreOperation::FormatLevel,
             compares,
--- a/src/controller/core/garbage_collection.rs
+++ b/src/controller/core/garbage_collection.rs
@@ -6,7 +6,7 @@
 use crate::clock::Micros;
 use crate::controller::messages::{Effect, StoreOperation};
 use crate::ids::Revision;
-use crate::store::{self, Request, RequestPriority, compare, keys};
+use crate::store::{Compare, Mutation, Request, RequestPriority, keys};
 
 const GARBAGE_COLLECTION_INTERVAL: Micros = Micros::from_millis(3_000);
 /// Progress pages that are deleted in one transaction.
@@ -48,11 +48,11 @@
         // Ids of ended jobs never come back, so these pages are nobody's.
         let jobs_ended = pages
             .iter()
-            .map(|(job, _)| compare(keys::job(job), Revision(0)));
+            .map(|(job, _)| Compare::new(keys::job(job), Revision(0)));
         let compares = std::iter::once(leader).chain(jobs_ended).collect();
         let mutations = pages
             .iter()
-            .map(|(job, page)| store::delete(keys::progress_page(job, *page)))
+            .map(|(job, page)| Mutation::delete(keys::progress_page(job, *page)))
             .collect();
         out.push(Effect::StoreRequest {
             operation: StoreOperation::GarbageCollection,
--- a/src/controller/core/heartbeats.rs
+++ b/src/controller/core/heartbeats.rs
@@ -8,6 +8,7 @@
 use crate::clock::Micros;
 use crate::controller::messages::DirectAnswer;
 use crate::ids::{MachineId, PartitionId, Term};
+use crate::store::Versioned;
 use crate::workers::Heartbeat;
 
 impl Core {
@@ -26,7 +27,7 @@
         let Some(((partition, _), _)) = recorded else {
             return HeartbeatAnswer::Unavailable;
         };
-        let Some((_, owner)) = cache.partition_owners.get(&partition) else {
+        let Some(Versioned { record: owner, .. }) = cache.partition_owners.get(&partition) else {
             return HeartbeatAnswer::Unavailable;
         };
         if owner.owner != self.configuration.settings.label {
--- a/src/controller/core/leader_election.rs
+++ b/src/controller/core/leader_election.rs
@@ -12,7 +12,7 @@
 use crate::leader::{self, CandidateState};
 use crate::partitions::LeaderRecord;
 use crate::partitions::lease::Lease;
-use crate::store::{self, Compare, RequestPriority, compare, keys};
+use crate::store::{Compare, Mutation, RequestPriority, Versioned, keys};
 
 /// How long the leader's lease lives without a renewal, unless a member's is shorter.
 const LEADER_LEASE_DURATION: Micros = Micros::from_millis(6_000);
@@ -127,14 +127,14 @@
             return;
         }
         let compares = vec![
-            compare(keys::LEADER.into(), Revision(0)),
-            compare(keys::member(label), incarnation),
+            Compare::new(keys::LEADER.into(), Revision(0)),
+            Compare::new(keys::member(label), incarnation),
         ];
         let record = LeaderRecord {
             leader: label.clone(),
             incarnation,
         };
-        let mutations = vec![store::put_with_lease(
+        let mutations = vec![Mutation::put_with_lease(
             keys::LEADER.into(),
             &record,
             lease_id,
@@ -170,11 +170,11 @@
         let leader = self.store.cache().leader.as_ref();
         let is_earlier =
             |record: &LeaderRecord| record.leader == *label && record.incarnation != incarnation;
-        let earlier = leader.filter(|(_, record)| is_earlier(record));
-        let Some(revision) = earlier.map(|(revision, _)| *revision) else {
+        let earlier = leader.filter(|Versioned { record, .. }| is_earlier(record));
+        let Some(revision) = earlier.map(|versioned| versioned.revision) else {
             return false;
         };
-        self.step_down(now, compare(keys::LEADER.into(), revision), out)
+        self.step_down(now, Compare::new(keys::LEADER.into(), revision), out)
     }
 
     /// An isolated leader still reaches the store, but not those it leads. True if the
@@ -202,7 +202,7 @@
             out.push(critical_write(
                 StoreOperation::StepDown,
                 vec![leader],
-                vec![store::delete(keys::LEADER.into())],
+                vec![Mutation::delete(keys::LEADER.into())],
             ));
         }
         has_begun
--- a/src/controller/core/machine_types.rs
+++ b/src/controller/core/machine_types.rs
@@ -10,7 +10,7 @@
 use crate::controller::messages::{Effect, StoreOperation};
 use crate::fairness::Resources;
 use crate::ids::Revision;
-use crate::store::{self, Request, RequestPriority, compare, keys};
+use crate::store::{Compare, Mutation, Request, RequestPriority, Versioned, keys};
 use crate::watch_cache::WatchCache;
 use std::sync::Arc;
 
@@ -45,7 +45,9 @@
 
     /// Takes over the list that the store has.
     pub(super) fn adopt_recorded(&mut self, cache: &WatchCache) {
-        if let Some((_, recorded)) = &cache.types
+        if let Some(Versioned {
+            record: recorded, ..
+        }) = &cache.types
             && self.types.as_ref().is_none_or(|known| **known != *recorded)
         {
             self.types = Some(Arc::new(recorded.clone()));
@@ -123,17 +125,21 @@
     /// Writes the machine types to the store if it has others.
     fn record_machine_types(&self, types: &[MachineType], out: &mut Vec<Effect>) {
         let recorded = self.store.cache().types.as_ref();
-        let (revision, known) = recorded.map_or((Revision(0), &[][..]), |(revision, known)| {
-            (*revision, known.as_slice())
-        });
+        let (revision, known) = recorded.map_or(
+            (Revision(0), &[][..]),
+            |Versioned {
+                 revision,
+                 record: known,
+             }| { (*revision, known.as_slice()) },
+        );
         if known == types {
             return;
         }
         out.push(Effect::StoreRequest {
             operation: StoreOperation::MachineTypes,
             request: Request::CompareAndSwap {
-                compares: vec![compare(keys::TYPES.into(), revision)],
-                mutations: vec![store::put(keys::TYPES.into(), &types)],
+                compares: vec![Compare::new(keys::TYPES.into(), revision)],
+                mutations: vec![Mutation::put(keys::TYPES.into(), &types)],
             },
             priority: RequestPriority::Normal,
         });
--- a/src/controller/core/owned_partitions.rs
+++ b/src/controller/core/owned_partitions.rs
@@ -8,6 +8,7 @@
 use crate::ids::{PartitionId, Term};
 use crate::partition_owner::OwnedPartition;
 use crate::partitions::PartitionOwnerRecord;
+use crate::store::Versioned;
 use std::collections::BTreeMap;
 
 /// The owned partitions, in the order of their ids.
@@ -75,8 +76,8 @@
     pub(super) fn update_ownership(&mut self, now: Micros) {
         let owners = self.store.cache().partition_owners.iter();
         let granted = owners
-            .filter(|(_, (_, record))| self.is_own_grant(record))
-            .map(|(id, (_, record))| (*id, record.term))
+            .filter(|(_, Versioned { record, .. })| self.is_own_grant(record))
+            .map(|(id, Versioned { record, .. })| (*id, record.term))
             .collect();
         self.partitions.drop_lost(&granted);
         self.acquire_granted_partitions(now);
@@ -89,7 +90,7 @@
             return;
         };
         let cache = self.store.cache();
-        for (id, (revision, record)) in &cache.partition_owners {
+        for (id, Versioned { revision, record }) in &cache.partition_owners {
             if !self.is_own_grant(record) || self.partitions.partitions.contains_key(id) {
                 continue;
             }
--- a/src/controller/core/partition_rebalancing.rs
+++ b/src/controller/core/partition_rebalancing.rs
@@ -11,6 +11,7 @@
 use crate::controller::messages::{Effect, StoreOperation};
 use crate::ids::Label;
 use crate::partition_owner::OwnedPartition;
+use crate::store::Versioned;
 
 /// Workers that were found unreachable count as that for so long.
 const UNREACHABLE_DURATION: Micros = Micros::from_millis(30_000);
@@ -93,7 +94,9 @@
         cache
             .partition_owners
             .values()
-            .filter(|(_, record)| record.owner == *label && cache.is_owner_alive(record))
+            .filter(|Versioned { record, .. }| {
+                record.owner == *label && cache.is_owner_alive(record)
+            })
             .count()
     }
 
--- a/src/controller/core/store_reader.rs
+++ b/src/controller/core/store_reader.rs
@@ -7,7 +7,7 @@
 use crate::clock::Micros;
 use crate::controller::messages::{Effect, StoreChanges, StoreSnapshot};
 use crate::ids::{JobId, PartitionId, Revision};
-use crate::store::WatchEvent;
+use crate::store::{Versioned, WatchEvent};
 use crate::watch_cache::{CacheChange, WatchCache};
 
 /// Without a read of the store for so long, job lookups are refused at once.
@@ -173,7 +173,14 @@
     }
 
     fn record_members(&mut self, now: Micros) {
-        for (label, (revision, member)) in &self.store.cache().members {
+        for (
+            label,
+            Versioned {
+                revision,
+                record: member,
+            },
+        ) in &self.store.cache().members
+        {
             let format_levels = &mut self.leader_state.format_levels;
             format_levels.record(label, member.format);
             self.peers.record_member(now, label, *revision);
--- a/src/controller/core/team_usage.rs
+++ b/src/controller/core/team_usage.rs
@@ -5,7 +5,7 @@
 use super::Core;
 use crate::clock::Micros;
 use crate::controller::messages::{Effect, StoreOperation};
-use crate::store::{self, Request, RequestPriority, keys};
+use crate::store::{Mutation, Request, RequestPriority, keys};
 use std::collections::BTreeMap;
 
 const TEAM_USAGE_INTERVAL: Micros = Micros::from_millis(10_000);
@@ -51,7 +51,7 @@
             operation: StoreOperation::TeamUsage,
             request: Request::CompareAndSwap {
                 compares: vec![],
-                mutations: vec![store::put(key, &heaviness_by_team)],
+                mutations: vec![Mutation::put(key, &heaviness_by_team)],
             },
             priority: RequestPriority::Background,
         });
--- a/src/http_client/mod.rs
+++ b/src/http_client/mod.rs
@@ -130,7 +130,7 @@
         let mut request = request.to_hyper(&self.addr).ok_or(RequestError::NotSent)?;
         loop {
             let mut connection = self.ready_connection(deadline).await?;
-            // Guards against a standstill while connecting: what comes after it is ready
+            // Guards against a pause of the process while connecting: what comes after it is ready
             // at once, however late, and a deadline alone would let it pass.
             if Instant::now() >= deadline {
                 return Err(RequestError::NotSent);
--- a/src/jobs/dependencies.rs
+++ b/src/jobs/dependencies.rs
@@ -11,12 +11,12 @@
 use super::{EndedRecord, JobDesc, JobRecord, JobState, Priority};
 use crate::clock::Micros;
 use crate::ids::{JobId, Revision};
-use crate::store::Reply;
+use crate::store::{Reply, Versioned};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// Live jobs, as the cache of the store has them.
-pub type LiveJobs = BTreeMap<JobId, (Revision, Rc<JobRecord>)>;
+pub type LiveJobs = BTreeMap<JobId, Versioned<Rc<JobRecord>>>;
 
 /// How a job ended that others depend on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -126,7 +126,7 @@
         let known = self.dependencies.keys().chain(self.dependents.keys());
         let with_dependencies = live
             .iter()
-            .filter(|(_, (_, record))| !record.desc.dependencies.is_empty())
+            .filter(|(_, Versioned { record, .. })| !record.desc.dependencies.is_empty())
             .map(|(id, _)| id);
         let ids: BTreeSet<JobId> = known.chain(with_dependencies).cloned().collect();
         for id in ids {
@@ -137,7 +137,7 @@
     /// A job was accepted, or ended.
     pub fn reconcile_job(&mut self, now: Micros, id: &JobId, live: &LiveJobs) {
         match live.get(id) {
-            Some((_, record)) => self.add(now, id, &record.desc, live),
+            Some(Versioned { record, .. }) => self.add(now, id, &record.desc, live),
             None => self.remove(now, id),
         }
     }
@@ -325,7 +325,7 @@
             let passed = live
                 .get(id)
                 .filter(|_| !self.cancelled.contains(id))
-                .map(|(_, record)| passed_on(record, inherited.get(id)));
+                .map(|Versioned { record, .. }| passed_on(record, inherited.get(id)));
             for dependency in self.dependencies.get(id).into_iter().flatten() {
                 let left = unvisited
                     .entry(dependency)
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -11,7 +11,7 @@
 use crate::clock::Micros;
 use crate::fairness::Resources;
 use crate::ids::{Label, MachineId, Revision, Term};
-use crate::store::{self, Compare, Mutation, compare, keys};
+use crate::store::{Compare, Mutation, keys};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -333,16 +333,18 @@
     ) -> ProgressTransaction {
         let id = &self.desc.id;
         let mut transaction = ProgressTransaction {
-            compares: vec![compare(keys::job(id), self.revision)],
+            compares: vec![Compare::new(keys::job(id), self.revision)],
             mutations: Vec::new(),
             record_numbers: Vec::new(),
         };
         for write in self.progress.take_writes(&self.tasks, owner, max_records) {
             let key = keys::progress_page(id, write.number);
             // A late write of ours must not undo a later one: each page has its revision.
-            let unchanged = compare(key.clone(), write.replaces);
+            let unchanged = Compare::new(key.clone(), write.replaces);
             transaction.compares.push(unchanged);
-            transaction.mutations.push(store::put(key, &write.record));
+            transaction
+                .mutations
+                .push(Mutation::put(key, &write.record));
             transaction.record_numbers.push(write.number);
         }
         transaction
@@ -377,16 +379,16 @@
             ended_at: Some(wall_clock),
         };
         let compares = vec![
-            compare(keys::job(id), self.revision),
-            compare(keys::ended(id), Revision(0)),
+            Compare::new(keys::job(id), self.revision),
+            Compare::new(keys::ended(id), Revision(0)),
         ];
         let mut mutations = vec![
-            store::delete(keys::job(id)),
-            store::put(keys::ended(id), &ended),
+            Mutation::delete(keys::job(id)),
+            Mutation::put(keys::ended(id), &ended),
         ];
         let max_pages = max_mutations.saturating_sub(END_MUTATIONS);
         let pages = self.progress.record_numbers().take(max_pages);
-        mutations.extend(pages.map(|number| store::delete(keys::progress_page(id, number))));
+        mutations.extend(pages.map(|number| Mutation::delete(keys::progress_page(id, number))));
         (compares, mutations)
     }
 }
--- a/src/leader/election.rs
+++ b/src/leader/election.rs
@@ -7,7 +7,7 @@
 
 use crate::clock::Micros;
 use crate::ids::{Label, Revision};
-use crate::store::{Compare, compare, keys};
+use crate::store::{Compare, Versioned, keys};
 use crate::watch_cache::WatchCache;
 
 /// Each member campaigns so much later than the one before it in the order of labels.
@@ -54,7 +54,7 @@
     let is_member = cache
         .members
         .get(label)
-        .is_some_and(|(revision, _)| *revision == incarnation);
+        .is_some_and(|versioned| versioned.revision == incarnation);
     if cache.leader.is_some() || !is_member {
         return false;
     }
@@ -69,7 +69,7 @@
     label: &Label,
     incarnation: Option<Revision>,
 ) -> Option<Compare> {
-    let (revision, record) = cache.leader.as_ref()?;
+    let Versioned { revision, record } = cache.leader.as_ref()?;
     (record.leader == *label && Some(record.incarnation) == incarnation)
-        .then(|| compare(keys::LEADER.into(), *revision))
+        .then(|| Compare::new(keys::LEADER.into(), *revision))
 }
--- a/src/leader/grants.rs
+++ b/src/leader/grants.rs
@@ -8,7 +8,7 @@
 use crate::ids::{Label, PartitionId, Term};
 use crate::partitions::{FormatLevel, PartitionOwnerRecord};
 use crate::settings::Settings;
-use crate::store::{self, Compare, Mutation, compare, keys};
+use crate::store::{Compare, Mutation, Versioned, keys};
 use crate::watch_cache::WatchCache;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
     let recorded = cache
         .partition_owners
         .iter()
-        .find(|(_, (_, owner))| owner.teams.contains(name));
+        .find(|(_, Versioned { record: owner, .. })| owner.teams.contains(name));
     recorded.map_or(
         PartitionId(team as u64 % partition_count),
         |(partition, _)| *partition,
@@ -73,7 +73,7 @@
         let mut unowned = Vec::new();
         for partition in configured.chain(beyond) {
             match cache.partition_owners.get(&partition) {
-                Some((_, record)) if cache.is_owner_alive(record) => {
+                Some(Versioned { record, .. }) if cache.is_owner_alive(record) => {
                     if let Some(owned) = owned_by_member.get_mut(&record.owner) {
                         *owned += 1;
                     }
@@ -118,12 +118,17 @@
                     is_ineligible: !is_eligible(label),
                     handed_it_back: cache.handed_back_by(partition) == Some(**label),
                     owned_partitions: **owned,
-                    format: Reverse(cache.members.get(**label).map(|(_, member)| member.format)),
+                    format: Reverse(
+                        cache
+                            .members
+                            .get(**label)
+                            .map(|Versioned { record: member, .. }| member.format),
+                    ),
                     is_leader: **label == &settings.label,
                     label,
                 })?;
         *owned += 1;
-        let incarnation = cache.members.get(*label)?.0;
+        let incarnation = cache.members.get(*label)?.revision;
         let owner = PartitionOwnerRecord {
             owner: (*label).clone(),
             incarnation,
@@ -131,13 +136,13 @@
             teams: teams_of(cache, settings, partition_count, partition),
         };
         // The member must still be alive, or the partition would go to a dead one.
-        let member = compare(keys::member(label), incarnation);
+        let member = Compare::new(keys::member(label), incarnation);
         if !compares.contains(&member) {
             compares.push(member);
         }
         let key = keys::partition_owner(partition);
-        compares.push(compare(key.clone(), cache.owner_revision(partition)));
-        mutations.push(store::put(key, &owner));
+        compares.push(Compare::new(key.clone(), cache.owner_revision(partition)));
+        mutations.push(Mutation::put(key, &owner));
     }
     Some((compares, mutations))
 }
--- a/src/leader/terms.rs
+++ b/src/leader/terms.rs
@@ -5,7 +5,7 @@
 
 use crate::ids::Term;
 use crate::partitions::TermRecord;
-use crate::store::{self, Compare, Mutation, compare, keys};
+use crate::store::{Compare, Mutation, Versioned, keys};
 use crate::watch_cache::WatchCache;
 
 /// The next terms, and the compare-and-swap under which they are allocated.
@@ -21,13 +21,13 @@
 
 /// Allocates the next `count` terms.
 pub fn allocate_terms(cache: &WatchCache, count: u64) -> TermAllocation {
-    let (revision, record) = cache.term;
+    let Versioned { revision, record } = cache.term;
     let allocated = TermRecord {
         last: Term(record.last.0 + count),
     };
     TermAllocation {
         first: Term(record.last.0 + 1),
-        compare: compare(keys::TERM.into(), revision),
-        mutation: store::put(keys::TERM.into(), &allocated),
+        compare: Compare::new(keys::TERM.into(), revision),
+        mutation: Mutation::put(keys::TERM.into(), &allocated),
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,9 @@
 //! rockdeal: a cluster scheduler that places waiting work lightest team first
 //! inside fenced partitions of machines that a leader leases to controllers.
 //!
-//! Every slice keeps its decisions in plain, synchronous state that is told
+//! Every module keeps its decisions in plain, synchronous state that is given
 //! the time; only the thin drivers around them know sockets and clocks.
 
-#![warn(missing_docs)]
-
 pub use rockdeal_types::{clock, ids};
 
 pub mod api;
--- a/src/partition_owner/ownership.rs
+++ b/src/partition_owner/ownership.rs
@@ -5,7 +5,7 @@
 use crate::ids::{PartitionId, Revision, Term};
 use crate::partitions::PartitionOwnerRecord;
 use crate::settings::Settings;
-use crate::store::{self, Compare, Mutation, compare, keys};
+use crate::store::{Compare, Mutation, keys};
 
 /// A partition's grant to this controller.
 pub(super) struct Ownership {
@@ -58,7 +58,7 @@
 
     /// The condition of every write of this owner: the grant still stands.
     pub(super) fn compare(&self) -> Compare {
-        compare(keys::partition_owner(self.partition), self.revision)
+        Compare::new(keys::partition_owner(self.partition), self.revision)
     }
 
     /// The change that leaves the partition without an owner, under the same term.
@@ -72,6 +72,6 @@
                 .map(|team| settings.platform.teams[*team].name.clone())
                 .collect(),
         };
-        store::put(keys::partition_owner(self.partition), &record)
+        Mutation::put(keys::partition_owner(self.partition), &record)
     }
 }
--- a/src/partition_owner/reconcile.rs
+++ b/src/partition_owner/reconcile.rs
@@ -9,6 +9,7 @@
 use crate::jobs::dependencies::{DependencyGraph, Readiness};
 use crate::jobs::{Job, JobRecord, tasks_per_page};
 use crate::partitions::MachineRecord;
+use crate::store::Versioned;
 use crate::watch_cache::WatchCache;
 use crate::workers::{Machine, MachineSpec};
 use std::collections::BTreeSet;
@@ -61,7 +62,8 @@
         at_grant: bool,
     ) {
         self.remove_lost_machines(shard, cache);
-        let Some((revision, record)) = cache.machine_shards.get(&(self.id(), shard)) else {
+        let Some(Versioned { revision, record }) = cache.machine_shards.get(&(self.id(), shard))
+        else {
             return;
         };
         for (id, record) in &record.0 {
@@ -147,7 +149,7 @@
     /// Takes in a job that changed in the store.
     pub fn reconcile_job(&mut self, id: &JobId, cache: &WatchCache) {
         match cache.jobs.get(id) {
-            Some((revision, record)) => self.add_job(id, *revision, record, cache),
+            Some(Versioned { revision, record }) => self.add_job(id, *revision, record, cache),
             None => self.remove_job(id),
         }
     }
@@ -219,7 +221,7 @@
     /// Takes in a page of a job's progress that changed: by our own write, one without an
     /// answer included.
     pub fn reconcile_progress_page(&mut self, id: &JobId, page: u32, cache: &WatchCache) {
-        if let Some((revision, _)) = cache.progress_pages.get(&(id.clone(), page))
+        if let Some(Versioned { revision, .. }) = cache.progress_pages.get(&(id.clone(), page))
             && let Some(job) = self.jobs.get_mut(id)
         {
             job.set_page_revision(page, *revision);
--- a/src/partitions/membership.rs
+++ b/src/partitions/membership.rs
@@ -7,7 +7,7 @@
 use super::{FormatLevel, MemberRecord};
 use crate::clock::Micros;
 use crate::ids::{Label, LeaseId, Revision};
-use crate::store::{self, KeyValue, Reply, Request, compare, keys};
+use crate::store::{Compare, KeyValue, Mutation, Reply, Request, keys};
 
 /// How long to wait before a failed request is retried.
 const RETRY_INTERVAL: Micros = Micros::from_millis(300);
@@ -88,8 +88,8 @@
         };
         let key = keys::member(&self.label);
         Request::CompareAndSwap {
-            compares: vec![compare(key.clone(), Revision(0))],
-            mutations: vec![store::put_with_lease(key, &record, lease_id)],
+            compares: vec![Compare::new(key.clone(), Revision(0))],
+            mutations: vec![Mutation::put_with_lease(key, &record, lease_id)],
         }
     }
 
--- a/src/partitions/shards.rs
+++ b/src/partitions/shards.rs
@@ -5,7 +5,7 @@
 
 use super::records::MachineRecord;
 use crate::ids::{MachineId, PartitionId, Revision};
-use crate::store::{self, Compare, Mutation, compare, keys};
+use crate::store::{Compare, Mutation, keys};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -68,7 +68,10 @@
     let shards = std::iter::once((shard, revision)).chain(new_shards);
     let write = |((number, revision), part)| {
         let key = keys::shard(partition, number);
-        (compare(key.clone(), revision), store::put(key, &part))
+        (
+            Compare::new(key.clone(), revision),
+            Mutation::put(key, &part),
+        )
     };
     shards.zip(parts).map(write).unzip()
 }
--- a/src/placement/queue.rs
+++ b/src/placement/queue.rs
@@ -8,7 +8,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// A job in a team's queue, with what tells most of the time that it fits nowhere.
+/// A job in a team's queue, with what mostly suffices to see that it fits nowhere.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueuedJob {
     /// The job.
--- a/src/store/http/tests.rs
+++ b/src/store/http/tests.rs
@@ -1,4 +1,3 @@
-use super::super::{compare, delete, put, put_with_lease};
 use super::*;
 
 fn compare_and_swap() -> Request {
@@ -31,10 +30,10 @@
 
 #[test]
 fn wire_and_record_fields_keep_their_names() {
-    let compares = [compare("a/b".into(), Revision(412))];
+    let compares = [Compare::new("a/b".into(), Revision(412))];
     let mutations = [
-        put_with_lease("a/b".into(), &7, LeaseId(9)),
-        delete("c/d".into()),
+        Mutation::put_with_lease("a/b".into(), &7, LeaseId(9)),
+        Mutation::delete("c/d".into()),
     ];
     let body = transaction_body(&compares, &mutations).to_string();
     let expected = r#"{"if":[{"k":"a/b","stamp":412}],"then":[{"set":"a/b","tenure":9,"value":7},{"delete":"c/d"}]}"#;
@@ -53,13 +52,13 @@
 #[test]
 fn transactions_keep_their_wire_form() {
     let compares = [
-        compare("r/x".into(), Revision(412)),
-        compare("r/y".into(), Revision(0)),
+        Compare::new("r/x".into(), Revision(412)),
+        Compare::new("r/y".into(), Revision(0)),
     ];
     let mutations = [
-        put("r/x".into(), &json!({"b": [1.5, null], "a": "t"})),
-        put_with_lease("r/y".into(), &7, LeaseId(9)),
-        delete("r/z".into()),
+        Mutation::put("r/x".into(), &json!({"b": [1.5, null], "a": "t"})),
+        Mutation::put_with_lease("r/y".into(), &7, LeaseId(9)),
+        Mutation::delete("r/z".into()),
     ];
     let body = r#"{"if":[{"k":"r/x","stamp":412},{"k":"r/y","stamp":0}],"then":[{"set":"r/x","value":{"a":"t","b":[1.5,null]}},{"set":"r/y","tenure":9,"value":7},{"delete":"r/z"}]}"#;
     assert_eq!(transaction_body(&compares, &mutations).to_string(), body);
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -18,10 +18,8 @@
 mod watch;
 
 pub use keys::ROOT;
-pub use reply::{KeyValue, Reply, WatchEvent};
-pub use request::{
-    Compare, Mutation, Request, RequestPriority, compare, delete, put, put_with_lease,
-};
+pub use reply::{KeyValue, Reply, Versioned, WatchEvent};
+pub use request::{Compare, Mutation, Request, RequestPriority};
 
 /// A compare-and-swap's records stay below this, in bytes; the store allows 64 KiB.
 pub const MAX_TRANSACTION_BYTES: usize = 40 * 1024;
--- a/src/store/reply.rs
+++ b/src/store/reply.rs
@@ -63,3 +63,12 @@
     #[serde(rename = "stamp")]
     pub revision: Revision,
 }
+
+/// A record, with the revision of its key's last change.
+#[derive(Debug, Clone, Copy, PartialEq, Default)]
+pub struct Versioned<T> {
+    /// The revision of its key's last change, 0 if there is no such key.
+    pub revision: Revision,
+    /// The record.
+    pub record: T,
+}
--- a/src/store/request.rs
+++ b/src/store/request.rs
@@ -16,9 +16,11 @@
     pub revision: Revision,
 }
 
-/// A condition on one key.
-pub fn compare(key: String, revision: Revision) -> Compare {
-    Compare { key, revision }
+impl Compare {
+    /// The condition that this is the revision of a key's last change.
+    pub fn new(key: String, revision: Revision) -> Compare {
+        Compare { key, revision }
+    }
 }
 
 /// One change of a compare-and-swap.
@@ -44,21 +46,6 @@
     },
 }
 
-/// Sets a key that is attached to no lease.
-pub fn put(key: String, value: &impl Serialize) -> Mutation {
-    Mutation::set(key, value, None)
-}
-
-/// Sets a key that is deleted when the lease ends.
-pub fn put_with_lease(key: String, value: &impl Serialize, lease_id: LeaseId) -> Mutation {
-    Mutation::set(key, value, Some(lease_id))
-}
-
-/// Deletes a key.
-pub fn delete(key: String) -> Mutation {
-    Mutation::Delete { key }
-}
-
 /// A value that is too large to be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct OversizedValue<'a> {
@@ -69,6 +56,21 @@
 }
 
 impl Mutation {
+    /// Sets a key that is attached to no lease.
+    pub fn put(key: String, value: &impl Serialize) -> Mutation {
+        Mutation::set(key, value, None)
+    }
+
+    /// Sets a key that is deleted when the lease ends.
+    pub fn put_with_lease(key: String, value: &impl Serialize, lease_id: LeaseId) -> Mutation {
+        Mutation::set(key, value, Some(lease_id))
+    }
+
+    /// Deletes a key.
+    pub fn delete(key: String) -> Mutation {
+        Mutation::Delete { key }
+    }
+
     fn set(key: String, value: &impl Serialize, lease_id: Option<LeaseId>) -> Mutation {
         Mutation::Set {
             key,
--- a/src/store/request/tests.rs
+++ b/src/store/request/tests.rs
@@ -2,9 +2,9 @@
 
 #[test]
 fn a_value_above_the_limit_is_found_before_it_is_sent() {
-    let set = |length: usize| put(format!("a/{length}"), &"x".repeat(length));
+    let set = |length: usize| Mutation::put(format!("a/{length}"), &"x".repeat(length));
     // The quotes count.
-    let mutations = vec![delete("a/0".into()), set(1_998), set(1_999)];
+    let mutations = vec![Mutation::delete("a/0".into()), set(1_998), set(1_999)];
     let request = Request::CompareAndSwap {
         compares: Vec::new(),
         mutations,
--- a/src/watch_cache/mod.rs
+++ b/src/watch_cache/mod.rs
@@ -15,31 +15,30 @@
     FormatRecord, LeaderRecord, MemberRecord, PartitionOwnerRecord, ShardRecord, TermRecord,
 };
 use crate::store::keys::Key;
-use crate::store::{KeyValue, WatchEvent};
+use crate::store::{KeyValue, Versioned, WatchEvent};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use unreadable_record::parse_record;
 
-/// Records by name, each with the revision of its key's last change.
-type Table<K, V> = BTreeMap<K, (Revision, V)>;
+/// Records by name.
+type Table<K, V> = BTreeMap<K, Versioned<V>>;
 
-/// The store's records as this controller has read them, each with the revision of its
-/// key's last change.
+/// The store's records as this controller has read them.
 #[derive(Debug, Default)]
 pub struct WatchCache {
     is_loaded: bool,
     /// The last fencing term that was granted.
-    pub term: (Revision, TermRecord),
+    pub term: Versioned<TermRecord>,
     /// The leader.
-    pub leader: Option<(Revision, LeaderRecord)>,
+    pub leader: Option<Versioned<LeaderRecord>>,
     /// The machine types.
-    pub types: Option<(Revision, Vec<MachineType>)>,
+    pub types: Option<Versioned<Vec<MachineType>>>,
     /// The format level that every controller understands; none is recorded at first.
-    pub format: Option<(Revision, FormatRecord)>,
+    pub format: Option<Versioned<FormatRecord>>,
     /// The states of all zones, as they were written: their subsystem parses them.
-    pub zones: Option<(Revision, Value)>,
+    pub zones: Option<Versioned<Value>>,
     /// The controllers that take part.
     pub members: Table<Label, MemberRecord>,
     /// Each partition's owner.
@@ -84,8 +83,18 @@
     revision: Revision,
 }
 
+impl KeyUpdate<'_> {
+    /// The value as it was written.
+    fn into_versioned_value(self) -> Option<Versioned<Value>> {
+        Some(Versioned {
+            revision: self.revision,
+            record: self.value?,
+        })
+    }
+}
+
 /// Sets an entry, or removes it if there is no record (any more).
-fn put_entry<K: Ord, T>(table: &mut Table<K, T>, name: K, record: Option<(Revision, T)>) {
+fn put_entry<K: Ord, T>(table: &mut Table<K, T>, name: K, record: Option<Versioned<T>>) {
     match record {
         Some(record) => table.insert(name, record),
         None => table.remove(&name),
@@ -135,13 +144,13 @@
             Some(Key::Leader) => self.leader = self.parse(update),
             Some(Key::MachineTypes) => self.types = self.parse(update),
             Some(Key::Format) => self.format = self.parse(update),
-            Some(Key::Zones) => self.zones = update.value.map(|value| (revision, value)),
+            Some(Key::Zones) => self.zones = update.into_versioned_value(),
             Some(Key::Member(label)) => {
                 let record = self.parse(update);
                 put_entry(&mut self.members, label, record);
             }
             Some(Key::TeamUsage(label)) => {
-                let usage = update.value.map(|value| (revision, value));
+                let usage = update.into_versioned_value();
                 put_entry(&mut self.team_usage, label, usage);
             }
             Some(Key::ScaleOut(name)) => {
@@ -170,7 +179,7 @@
     ) -> CacheChange {
         let shard = (partition, number);
         let record = self.parse_shared::<ShardRecord>(update);
-        if let Some((_, old)) = self.machine_shards.get(&shard) {
+        if let Some(Versioned { record: old, .. }) = self.machine_shards.get(&shard) {
             // A machine that moved may be at its new place already.
             for id in old.0.keys() {
                 if self.machine_locations.get(id) == Some(&shard) {
@@ -178,7 +187,7 @@
                 }
             }
         }
-        if let Some((_, new)) = &record {
+        if let Some(Versioned { record: new, .. }) = &record {
             self.machine_locations
                 .extend(new.0.keys().map(|id| (id.clone(), shard)));
         }
@@ -206,9 +215,12 @@
 
     /// The record that an update sets; none if it deletes the key, or if its value can't
     /// be parsed, which is counted and logged.
-    fn parse<T: DeserializeOwned>(&mut self, update: KeyUpdate<'_>) -> Option<(Revision, T)> {
+    fn parse<T: DeserializeOwned>(&mut self, update: KeyUpdate<'_>) -> Option<Versioned<T>> {
         match parse_record(update.key, update.value?) {
-            Ok(record) => Some((update.revision, record)),
+            Ok(record) => Some(Versioned {
+                revision: update.revision,
+                record,
+            }),
             Err(unreadable) => {
                 self.unreadable_records += 1;
                 let (key, error) = (&unreadable.key, &unreadable.source);
@@ -222,9 +234,12 @@
     fn parse_shared<T: DeserializeOwned>(
         &mut self,
         update: KeyUpdate<'_>,
-    ) -> Option<(Revision, Rc<T>)> {
-        let (revision, record) = self.parse(update)?;
-        Some((revision, Rc::new(record)))
+    ) -> Option<Versioned<Rc<T>>> {
+        let Versioned { revision, record } = self.parse(update)?;
+        Some(Versioned {
+            revision,
+            record: Rc::new(record),
+        })
     }
 }
 
--- a/src/watch_cache/queries.rs
+++ b/src/watch_cache/queries.rs
@@ -4,6 +4,7 @@
 use crate::ids::{JobId, Label, MachineId, PartitionId, Revision};
 use crate::jobs::ProgressRecord;
 use crate::partitions::{FormatLevel, MachineRecord, PartitionOwnerRecord, ShardRecord};
+use crate::store::Versioned;
 use std::rc::Rc;
 
 impl WatchCache {
@@ -27,14 +28,14 @@
     pub fn owner_revision(&self, partition: PartitionId) -> Revision {
         self.partition_owners
             .get(&partition)
-            .map_or(Revision(0), |(revision, _)| *revision)
+            .map_or(Revision(0), |versioned| versioned.revision)
     }
 
     /// The revision of a shard (its partition and its number), 0 if there is none.
     pub fn shard_revision(&self, shard: (PartitionId, u32)) -> Revision {
         self.machine_shards
             .get(&shard)
-            .map_or(Revision(0), |(revision, _)| *revision)
+            .map_or(Revision(0), |versioned| versioned.revision)
     }
 
     /// A partition's shards with their numbers and revisions, in order.
@@ -44,7 +45,7 @@
     ) -> impl Iterator<Item = (u32, Revision, &Rc<ShardRecord>)> {
         self.machine_shards
             .range((partition, 0)..=(partition, u32::MAX))
-            .map(|((_, number), (revision, record))| (*number, *revision, record))
+            .map(|((_, number), Versioned { revision, record })| (*number, *revision, record))
     }
 
     /// The recorded machines of one partition.
@@ -59,7 +60,7 @@
     /// Every recorded machine of every partition.
     pub fn all_machines(&self) -> impl Iterator<Item = (PartitionId, &MachineId, &MachineRecord)> {
         let shards = self.machine_shards.iter();
-        shards.flat_map(|((partition, _), (_, record))| {
+        shards.flat_map(|((partition, _), Versioned { record, .. })| {
             let machines = record.0.iter();
             machines.map(move |(id, machine)| (*partition, id, machine))
         })
@@ -68,7 +69,7 @@
     /// The shard (its partition and its number) that records a machine, and its record.
     pub fn machine(&self, id: &MachineId) -> Option<((PartitionId, u32), &MachineRecord)> {
         let shard = *self.machine_locations.get(id)?;
-        let (_, record) = self.machine_shards.get(&shard)?;
+        let Versioned { record, .. } = self.machine_shards.get(&shard)?;
         Some((shard, record.0.get(id)?))
     }
 
@@ -76,20 +77,20 @@
     pub fn is_owner_alive(&self, owner: &PartitionOwnerRecord) -> bool {
         self.members
             .get(&owner.owner)
-            .is_some_and(|(revision, _)| *revision == owner.incarnation)
+            .is_some_and(|versioned| versioned.revision == owner.incarnation)
     }
 
     /// The last owner of a partition that it handed back and that has not been granted
     /// since.
     pub fn handed_back_by(&self, partition: PartitionId) -> Option<&Label> {
-        let (_, record) = self.partition_owners.get(&partition)?;
+        let Versioned { record, .. } = self.partition_owners.get(&partition)?;
         (record.incarnation == Revision(0)).then_some(&record.owner)
     }
 
     /// The format level that every controller understands.
     pub fn format_level(&self) -> FormatLevel {
         self.format
-            .map_or_else(Default::default, |(_, record)| record.level)
+            .map_or_else(Default::default, |Versioned { record, .. }| record.level)
     }
 
     /// Numbers of a partition's shards that are not in use, in order.
@@ -102,7 +103,7 @@
         let pages = self
             .progress_pages
             .range((id.clone(), 0)..=(id.clone(), u32::MAX));
-        pages.map(|((_, page), (revision, record))| (*page, *revision, record))
+        pages.map(|((_, page), Versioned { revision, record })| (*page, *revision, record))
     }
 
     /// At most `max` pages of progress whose job has ended: garbage that nobody reads.
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -14,7 +14,7 @@
 use crate::ids::{Label, Revision, ZoneId};
 use crate::jobs::JobDesc;
 use crate::settings::Settings;
-use crate::store::{self, Compare, Mutation, Reply, compare, keys};
+use crate::store::{Compare, Mutation, Reply, Versioned, keys};
 use crate::watch_cache::WatchCache;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -135,7 +135,10 @@
     /// Takes in what was read of the store.
     pub fn sync(&mut self, now: Micros, cache: &WatchCache) {
         let (revision, value) = match &cache.zones {
-            Some((revision, value)) => (*revision, Some(value)),
+            Some(Versioned {
+                revision,
+                record: value,
+            }) => (*revision, Some(value)),
             None => (Revision(0), None),
         };
         if revision != self.record_revision {
@@ -151,7 +154,7 @@
                 }
             });
         }
-        let leader = cache.leader.as_ref().map(|(revision, _)| *revision);
+        let leader = cache.leader.as_ref().map(|versioned| versioned.revision);
         self.view.sync(now, self.record.as_ref(), leader);
         self.refresh(now);
     }
@@ -228,9 +231,9 @@
         // Conditional on the leader's key, so a leader that has been replaced is refused.
         let compares = vec![
             leader.clone(),
-            compare(keys::ZONES.into(), self.record_revision),
+            Compare::new(keys::ZONES.into(), self.record_revision),
         ];
-        Some((compares, vec![store::put(keys::ZONES.into(), &record)]))
+        Some((compares, vec![Mutation::put(keys::ZONES.into(), &record)]))
     }
 
     /// The store has answered a commit.
