--- a/src/autoscaler/shard_update.rs
+++ b/src/autoscaler/shard_update.rs
@@ -28,7 +28,8 @@
     /// Gets what belongs to no known partition.
     fallback_partition: PartitionId,
     completed_scale_outs: Vec<String>,
-    grant: TermAllocation,
+    /// The next term, and the write that takes it.
+    next_term: TermAllocation,
     /// Whether a moved machine was recorded under the new term.
     is_term_used: bool,
 }
@@ -44,7 +45,7 @@
             balancer: PartitionBalancer::new(fleet),
             fallback_partition,
             completed_scale_outs: Vec::new(),
-            grant: allocate_terms(fleet.cache, 1),
+            next_term: allocate_terms(fleet.cache, 1),
             is_term_used: false,
         })
     }
@@ -135,7 +136,7 @@
             let mut machine = machine.clone();
             machine.release_reason = None;
             // A term higher than any that an owner of it has used.
-            machine.term = self.grant.first;
+            machine.term = self.next_term.first;
             // Up to two shards beside the term's key.
             if self.shards.is_full(other_mutations + 3)
                 || !self.shards.remove(shard, id, other_mutations + 2)
@@ -162,7 +163,7 @@
 
     /// The write; nothing if it would change nothing.
     pub(super) fn into_effect(self) -> Option<Effect> {
-        let mut compares = vec![self.leader.clone(), self.grant.compare];
+        let mut compares = vec![self.leader.clone(), self.next_term.compare];
         let mut mutations: Vec<Mutation> = self
             .completed_scale_outs
             .iter()
@@ -177,7 +178,7 @@
             return None;
         }
         if self.is_term_used {
-            mutations.push(self.grant.mutation);
+            mutations.push(self.next_term.mutation);
         }
         Some(Effect::CompareAndSwap {
             write: Write::RecordMachines {
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -80,10 +80,8 @@
         while !self.bucket.borrow_mut().take(self.clock.now(), 1.0, 0.0) {
             tokio::time::sleep(RATE_LIMIT_RETRY_INTERVAL).await;
         }
-        match self.pool.send(&request, REQUEST_TIMEOUT).await {
-            Ok((status, body)) => Ok(HttpResponse { status, body }),
-            Err(_) => Err(ResponseError::NoResponse),
-        }
+        let (status, body) = self.pool.send(&request, REQUEST_TIMEOUT).await?;
+        Ok(HttpResponse { status, body })
     }
 }
 
@@ -91,7 +89,7 @@
 fn failure_reply(error: ResponseError) -> CloudReply {
     match error {
         ResponseError::NoCapacity => CloudReply::NoCapacity,
-        ResponseError::NoResponse | ResponseError::Status(_) | ResponseError::Malformed(_) => {
+        ResponseError::NoResponse(_) | ResponseError::Status(_) | ResponseError::Malformed(_) => {
             CloudReply::Indeterminate
         }
     }
--- a/src/cloud/wire.rs
+++ b/src/cloud/wire.rs
@@ -4,7 +4,7 @@
 //! it lists.
 
 use super::{CloudMachine, CloudRequest, MachineType};
-use crate::http_client::HttpRequest;
+use crate::http_client::{HttpRequest, RequestError};
 use crate::ids::MachineId;
 use bytes::Bytes;
 use serde::Deserialize;
@@ -21,7 +21,7 @@
 pub(super) enum ResponseError {
     /// No response came: the request may have been carried out, or may still be.
     #[error("the cloud did not respond")]
-    NoResponse,
+    NoResponse(#[from] RequestError),
     /// The scale-out was not carried out and never will be.
     #[error("the cloud has no instance of this type, zone and kind")]
     NoCapacity,
