--- a/src/leader/grants/tests.rs
+++ b/src/leader/grants/tests.rs
@@ -5,6 +5,13 @@
 use crate::settings::tests::settings;
 use crate::store::Versioned;
 
+/// Records the owner of the first partition.
+fn record_owner(cache: &mut WatchCache, record: PartitionOwnerRecord) {
+    let revision = Revision(8);
+    let versioned = Versioned { revision, record };
+    cache.partition_owners.insert(PartitionId(0), versioned);
+}
+
 fn cache(members: &[(&str, u64)]) -> WatchCache {
     let mut cache = WatchCache::default();
     cache.load(Vec::new());
@@ -90,13 +97,7 @@
         term: Term(7),
         teams: vec!["red".into(), "blue".into()],
     };
-    cache.partition_owners.insert(
-        PartitionId(0),
-        Versioned {
-            revision: Revision(8),
-            record: expired,
-        },
-    );
+    record_owner(&mut cache, expired);
     let (compares, mutations) =
         try_grants(&cache, 1, &|label| label.as_str() == "c0").expect("grants");
     let granted = granted_owners(&mutations);
@@ -120,13 +121,7 @@
         term: Term(7),
         teams: vec![],
     };
-    cache.partition_owners.insert(
-        PartitionId(0),
-        Versioned {
-            revision: Revision(8),
-            record: owned,
-        },
-    );
+    record_owner(&mut cache, owned);
     assert_eq!(try_grants(&cache, 1, &|_| true), None);
     cache.leader = Some(Versioned {
         revision: Revision(6),
@@ -148,13 +143,7 @@
         term: Term(7),
         teams: vec!["red".into(), "blue".into()],
     };
-    cache.partition_owners.insert(
-        PartitionId(0),
-        Versioned {
-            revision: Revision(8),
-            record: handed_back,
-        },
-    );
+    record_owner(&mut cache, handed_back);
     // No member is eligible just now.
     let (_, mutations) = try_grants(&cache, 1, &|_| false).expect("grants");
     assert_eq!(granted_owners(&mutations)[0].1.owner.as_str(), "c0");
--- a/src/partitions/lease.rs
+++ b/src/partitions/lease.rs
@@ -3,12 +3,11 @@
 //! Owns when to grant and when to renew. It must never count a lease as valid beyond what
 //! the store can have agreed to: validity runs from when a request was sent.
 
+use super::request_pacing::{RETRY_INTERVAL, RequestPacing};
 use crate::clock::Micros;
 use crate::ids::LeaseId;
 use crate::store::{Reply, Request};
 
-/// How long to wait before a failed request is retried.
-const RETRY_INTERVAL: Micros = Micros::from_millis(300);
 /// A lease is renewed so many times within its time to live.
 const RENEWALS_PER_TTL: u64 = 4;
 
@@ -19,8 +18,7 @@
     ttl: Micros,
     lease_id: Option<LeaseId>,
     renewed_at: Micros,
-    in_flight_since: Option<Micros>,
-    next_attempt_at: Micros,
+    pacing: RequestPacing,
 }
 
 impl Lease {
@@ -30,17 +28,15 @@
             ttl,
             lease_id: None,
             renewed_at: Micros::ZERO,
-            in_flight_since: None,
-            next_attempt_at: Micros::ZERO,
+            pacing: RequestPacing::default(),
         }
     }
 
     /// The request that keeps the lease alive, if one is due at `now`. The caller sends it.
     pub fn next_request(&mut self, now: Micros) -> Option<Request> {
-        if self.in_flight_since.is_some() || now < self.next_attempt_at {
+        if !self.pacing.begin(now) {
             return None;
         }
-        self.in_flight_since = Some(now);
         Some(match self.lease_id {
             Some(lease_id) => Request::RenewLease { lease_id },
             None => Request::GrantLease { ttl: self.ttl },
@@ -49,8 +45,8 @@
 
     /// Handles the store's reply to the request in flight.
     pub fn handle_reply(&mut self, now: Micros, reply: &Reply) {
-        let sent_at = self.in_flight_since.take().unwrap_or(now);
-        self.next_attempt_at = now + RETRY_INTERVAL;
+        let sent_at = self.pacing.finish(now);
+        self.pacing.delay_until(now + RETRY_INTERVAL);
         match reply {
             Reply::LeaseGranted(lease_id) => {
                 self.lease_id = Some(*lease_id);
@@ -58,11 +54,12 @@
             }
             Reply::Acknowledged => {
                 self.renewed_at = sent_at;
-                self.next_attempt_at = now + Micros(self.ttl.0 / RENEWALS_PER_TTL);
+                self.pacing
+                    .delay_until(now + Micros(self.ttl.0 / RENEWALS_PER_TTL));
             }
             Reply::LeaseExpired => {
                 self.lease_id = None;
-                self.next_attempt_at = now;
+                self.pacing.delay_until(now);
             }
             _ => {}
         }
--- a/src/partitions/membership.rs
+++ b/src/partitions/membership.rs
@@ -4,13 +4,12 @@
 //! It must never extend the right to act beyond what the store can have agreed to: validity
 //! runs from when a request was sent, not from when its reply came.
 
+use super::request_pacing::{RETRY_INTERVAL, RequestPacing};
 use super::{FormatLevel, MemberRecord};
 use crate::clock::Micros;
 use crate::ids::{Label, LeaseId, Revision};
 use crate::store::{Compare, KeyValue, Mutation, Reply, Request, keys};
 
-/// How long to wait before a failed request is retried.
-const RETRY_INTERVAL: Micros = Micros::from_millis(300);
 /// A member renews its lease so many times within the lease's time to live.
 const RENEWALS_PER_TTL: u64 = 6;
 
@@ -44,8 +43,7 @@
     ttl: Micros,
     lease_validity: Micros,
     registration: Registration,
-    in_flight_since: Option<Micros>,
-    next_attempt_at: Micros,
+    pacing: RequestPacing,
 }
 
 impl Membership {
@@ -58,17 +56,15 @@
             ttl,
             lease_validity,
             registration: Registration::ReadingPredecessor,
-            in_flight_since: None,
-            next_attempt_at: Micros::ZERO,
+            pacing: RequestPacing::default(),
         }
     }
 
     /// The next request to the store, if one is due at `now`. The caller sends it.
     pub fn next_request(&mut self, now: Micros) -> Option<Request> {
-        if self.in_flight_since.is_some() || now < self.next_attempt_at {
+        if !self.pacing.begin(now) {
             return None;
         }
-        self.in_flight_since = Some(now);
         Some(match self.registration {
             Registration::ReadingPredecessor => Request::Get {
                 key: keys::member(&self.label),
@@ -95,7 +91,7 @@
 
     /// Handles the store's reply to the request in flight.
     pub fn handle_reply(&mut self, now: Micros, reply: &Reply) {
-        let sent_at = self.in_flight_since.take().unwrap_or(now);
+        let sent_at = self.pacing.finish(now);
         match self.registration.after(reply, sent_at) {
             Some(registration) => {
                 let is_renewed = matches!(
@@ -107,10 +103,10 @@
                 } else {
                     Micros::ZERO
                 };
-                self.next_attempt_at = now + wait;
+                self.pacing.delay_until(now + wait);
                 self.registration = registration;
             }
-            None => self.next_attempt_at = now + RETRY_INTERVAL,
+            None => self.pacing.delay_until(now + RETRY_INTERVAL),
         }
     }
 
--- a/src/partitions/mod.rs
+++ b/src/partitions/mod.rs
@@ -9,6 +9,7 @@
 pub mod lease;
 pub mod membership;
 mod records;
+mod request_pacing;
 mod shards;
 
 pub use format_level::FormatLevel;
--- a/src/watch_cache/queries.rs
+++ b/src/watch_cache/queries.rs
@@ -48,15 +48,6 @@
             .map(|((_, number), Versioned { revision, record })| (*number, *revision, record))
     }
 
-    /// The recorded machines of one partition.
-    pub fn machines_of(
-        &self,
-        partition: PartitionId,
-    ) -> impl Iterator<Item = (&MachineId, &MachineRecord)> {
-        self.shards(partition)
-            .flat_map(|(_, _, record)| record.0.iter())
-    }
-
     /// Every recorded machine of every partition.
     pub fn all_machines(&self) -> impl Iterator<Item = (PartitionId, &MachineId, &MachineRecord)> {
         let shards = self.machine_shards.iter();
--- a/src/watch_cache/tests.rs
+++ b/src/watch_cache/tests.rs
@@ -31,7 +31,13 @@
     let location = |id: &str| cache.machine(&id.into()).map(|(shard, _)| shard);
     assert_eq!(location("m-1"), Some((PartitionId(1), 3)));
     assert_eq!(location("m-2"), Some((PartitionId(0), 0)));
-    assert_eq!(cache.machines_of(PartitionId(0)).count(), 1);
+    assert_eq!(
+        cache
+            .all_machines()
+            .filter(|(partition, ..)| *partition == PartitionId(0))
+            .count(),
+        1
+    );
 }
 
 #[test]
