--- /dev/null
+++ b/tests/external_names.rs
@@ -0,0 +1,201 @@
+//! The names that leave the process: fields and values of messages, keys of the store,
+//! settings, flags and the like. Other programs, older versions and operators' files use
+//! them, so a rename inside the code must not change them.
+//!
+//! `docs/external-names.txt` lists them, one a line: kind, name and the file that holds it,
+//! separated by tabs.
+
+#![expect(clippy::expect_used, reason = "helpers of tests fail by panicking")]
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::{Path, PathBuf};
+
+const LIST: &str = include_str!("../docs/external-names.txt");
+
+struct ExternalName {
+    kind: &'static str,
+    name: &'static str,
+    file: &'static str,
+}
+
+fn external_names() -> Vec<ExternalName> {
+    LIST.lines()
+        .map(|line| match *line.split('\t').collect::<Vec<_>>() {
+            [kind, name, file] if !name.is_empty() => ExternalName { kind, name, file },
+            _ => panic!("not `kind<TAB>name<TAB>file`: {line:?}"),
+        })
+        .collect()
+}
+
+fn root() -> &'static Path {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+}
+
+/// The text of a file without its comment lines.
+fn code_of(path: &Path) -> String {
+    let text = std::fs::read_to_string(path)
+        .unwrap_or_else(|error| panic!("can't read {}: {error}", path.display()));
+    let is_rust = path.extension().is_some_and(|extension| extension == "rs");
+    let comment = if is_rust { "//" } else { "#" };
+    text.lines()
+        .filter(|line| !line.trim_start().starts_with(comment))
+        .collect::<Vec<_>>()
+        .join("\n")
+}
+
+fn is_word(character: char) -> bool {
+    character.is_alphanumeric() || character == '_'
+}
+
+/// The places at which `name` stands in `code` as whole words.
+fn occurrences<'a>(code: &'a str, name: &'a str) -> impl Iterator<Item = usize> + 'a {
+    code.match_indices(name)
+        .map(|(at, _)| at)
+        .filter(move |&at| {
+            let before = code[..at].chars().next_back();
+            let after = code[at + name.len()..].chars().next();
+            let starts = !name.starts_with(is_word) || !before.is_some_and(is_word);
+            let ends = !name.ends_with(is_word) || !after.is_some_and(is_word);
+            starts && ends
+        })
+}
+
+/// Whether `name` stands in a string literal, which no rename by the compiler changes.
+fn stands_in_literal(code: &str, name: &str) -> bool {
+    let literals = code
+        .lines()
+        .flat_map(|line| line.split('"').skip(1).step_by(2));
+    literals
+        .into_iter()
+        .any(|literal| occurrences(literal, name).next().is_some())
+}
+
+/// The identifiers that serde writes as `name` without a `rename`.
+fn identifiers(name: &str) -> [String; 2] {
+    let snake = name.replace('-', "_");
+    let camel = snake
+        .split('_')
+        .map(|word| {
+            let (first, rest) = word.split_at(word.len().min(1));
+            first.to_uppercase() + rest
+        })
+        .collect();
+    [snake, camel]
+}
+
+/// Whether `name` is declared as a field or an enum variant under its own name, or is used as
+/// an identifier of a library, as the header constants are.
+fn stands_as_identifier(code: &str, name: &str) -> bool {
+    identifiers(name).iter().any(|identifier| {
+        occurrences(code, identifier).any(|at| {
+            let rest = code[at + identifier.len()..].trim_start();
+            rest.starts_with([':', ',', '{', '=', ')', '}'])
+        })
+    })
+}
+
+fn stands(code: &str, name: &str, is_rust: bool) -> bool {
+    if !is_rust {
+        return occurrences(code, name).next().is_some();
+    }
+    // A name this short stands in nearly every file as an identifier of something else.
+    const MAX_SHORT_NAME: usize = 2;
+    stands_in_literal(code, name)
+        || (name.len() > MAX_SHORT_NAME && stands_as_identifier(code, name))
+        || is_declared_field(code, name)
+}
+
+/// Whether a struct declares a public field of this name; also for names of two letters.
+fn is_declared_field(code: &str, name: &str) -> bool {
+    let identifiers = identifiers(name);
+    code.lines().map(str::trim).any(|line| {
+        let line = line.strip_prefix("pub ").unwrap_or(line);
+        identifiers.iter().any(|field| {
+            line.strip_prefix(field.as_str())
+                .is_some_and(|rest| rest.starts_with([':', ',']))
+        })
+    })
+}
+
+#[test]
+fn every_listed_name_stands_in_its_file() {
+    let mut code_by_file = BTreeMap::new();
+    let mut missing = Vec::new();
+    for listed in external_names() {
+        let path = root().join(listed.file);
+        let code = code_by_file
+            .entry(listed.file)
+            .or_insert_with(|| code_of(&path));
+        if !stands(code, listed.name, listed.file.ends_with(".rs")) {
+            missing.push(format!(
+                "{} {} in {}",
+                listed.kind, listed.name, listed.file
+            ));
+        }
+    }
+    assert!(missing.is_empty(), "no longer in the sources: {missing:#?}");
+}
+
+/// The source files of all packages, without those of tests.
+fn source_files() -> Vec<PathBuf> {
+    let mut folders = vec![root().join("src"), root().join("crates")];
+    let mut files = Vec::new();
+    while let Some(folder) = folders.pop() {
+        for entry in std::fs::read_dir(&folder).expect("a folder of sources") {
+            let path = entry.expect("an entry of a folder").path();
+            let name = path
+                .file_name()
+                .and_then(|name| name.to_str())
+                .unwrap_or("");
+            if path.is_dir() && name != "tests" {
+                folders.push(path);
+            } else if name.ends_with(".rs") && name != "tests.rs" {
+                files.push(path);
+            }
+        }
+    }
+    files
+}
+
+/// The names that serde attributes of a file give.
+fn renamed(code: &str) -> BTreeSet<&str> {
+    let attributes = code.split("rename = \"").skip(1);
+    attributes
+        .filter_map(|rest| rest.split('"').next())
+        .collect()
+}
+
+#[test]
+fn every_name_in_a_serde_attribute_is_listed() {
+    let listed: BTreeSet<(&str, &str)> = external_names()
+        .iter()
+        .map(|listed| (listed.file, listed.name))
+        .collect();
+    let mut unlisted = Vec::new();
+    let mut found = 0;
+    for path in source_files() {
+        let file = path.strip_prefix(root()).expect("a path below the root");
+        let file = file.to_str().expect("a path in UTF-8").to_owned();
+        let code = code_of(&path);
+        for name in renamed(&code) {
+            found += 1;
+            if !listed.contains(&(file.as_str(), name)) {
+                unlisted.push(format!("{name} in {file}"));
+            }
+        }
+    }
+    assert!(found > 0, "no serde attribute was found: look at the paths");
+    assert!(
+        unlisted.is_empty(),
+        "not in docs/external-names.txt: {unlisted:#?}"
+    );
+}
+
+#[test]
+fn the_list_is_sorted_and_names_nothing_twice() {
+    let lines: Vec<&str> = LIST.lines().collect();
+    let mut sorted = lines.clone();
+    sorted.sort_unstable();
+    sorted.dedup();
+    assert_eq!(lines, sorted);
+}
