--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -1,4 +1,5 @@
-//! The machines that a pass may use: what is free on them, and how good a place each is.
+//! Machines that a placement pass may use, with their free capacity and a score that says how
+//! well each machine suits a task.
 
 use super::zone_constraints::{TasksByZone, is_zone_allowed};
 use super::{SchedulingSnapshot, accepts_tasks};
@@ -9,29 +10,34 @@
 use crate::workers::Machine;
 use std::borrow::Cow;
 
-/// At most one in so many machines is held for a head job.
-const MACHINES_PER_HELD: usize = 12;
-/// Spot machines are filled first, so that the expensive ones become idle and are released.
+/// One machine may be held for a job, and one more for each this many usable machines of the
+/// partition.
+const MACHINES_PER_EXTRA_HOLD: usize = 12;
+/// Score added for a spot machine. Spot machines are filled first, so that the more expensive
+/// ordinary machines become idle and are released.
 const SPOT_SCORE: f64 = 1.2;
-/// Images are not fetched without need.
+/// Score added for a machine that has the task's image, so that images are not fetched without
+/// need.
 const IMAGE_PRESENT_SCORE: f64 = 2.0;
-/// What each second of fetching an image takes from the score, up to
-/// [`MAX_FETCH_SECONDS`].
-const FETCH_SECOND_SCORE: f64 = 0.1;
-const MAX_FETCH_SECONDS: f64 = 10.0;
-/// A rate below this counts as this one, so that no division is by zero.
+/// Score subtracted for each second that fetching the image takes, up to [`MAX_FETCH_S`].
+const SCORE_PENALTY_PER_FETCH_S: f64 = 0.1;
+/// Fetch time in seconds beyond which the score is not reduced any further.
+const MAX_FETCH_S: f64 = 10.0;
+/// Lower bound of the image fetch rate in the score, which prevents a division by zero.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
-/// What others were stopped for is used first.
+/// Score added for a machine with capacity reserved for the job, so that capacity freed by
+/// preemption is used first.
 const RESERVED_SCORE: f64 = 4.0;
 
-/// A machine in a pass.
+/// A machine in a pass, with the changes that the pass has made so far.
 pub(super) struct CandidateMachine<'a> {
     pub(super) id: &'a MachineId,
     pub(super) machine: &'a Machine,
     pub(super) free: Resources,
     pub(super) load: Cow<'a, Load>,
-    /// Images that come with what was placed in this pass.
+    /// Images of the tasks that this pass has placed on the machine.
     pub(super) images: Vec<ImageKey>,
+    /// Job for which free capacity is held; `None`: any job may use the machine.
     pub(super) held_for: Option<&'a JobId>,
 }
 
@@ -47,7 +53,8 @@
         }
     }
 
-    /// What is free for a job, without what others were stopped for.
+    /// Returns the free capacity that a job may use: without the capacity that is reserved for
+    /// other jobs.
     pub(super) fn free_for(&self, id: &JobId, now: Micros) -> Resources {
         let mut free = self.free;
         let reservations = self.machine.reservations.active(now);
@@ -61,8 +68,10 @@
         self.held_for.is_none_or(|held_for| held_for == id)
     }
 
-    /// How good a place it is: small tasks go where large ones can't, images are not
-    /// fetched without need, and where one must be, sooner rather than later.
+    /// Returns how well the machine suits a task; higher is better. A task that takes a larger
+    /// share of the free capacity scores higher, so that small tasks go where large ones do not
+    /// fit. A machine that has the image scores higher than one that must fetch it, and a fast
+    /// fetch scores higher than a slow one.
     fn score(&self, desc: &JobDesc, image: ImageKey) -> f64 {
         let mut score = desc.request().share_of(&self.free);
         if self.machine.images.contains(&image) || self.images.contains(&image) {
@@ -73,7 +82,7 @@
                 .spec
                 .image_fetch_gb_per_s
                 .max(MIN_FETCH_GB_PER_S);
-            score -= FETCH_SECOND_SCORE * (desc.image_gb / rate).min(MAX_FETCH_SECONDS);
+            score -= SCORE_PENALTY_PER_FETCH_S * (desc.image_gb / rate).min(MAX_FETCH_S);
         }
         if self.machine.spec.spot {
             score += SPOT_SCORE;
@@ -84,7 +93,8 @@
         score
     }
 
-    /// The largest share of the machine that a request lacks on it.
+    /// Returns the largest share of any of the machine's resources that is missing for a request;
+    /// 0 if the request fits.
     fn lacking_share(&self, request: &Resources) -> f64 {
         let lacking = *request - self.free;
         lacking
@@ -93,15 +103,15 @@
     }
 }
 
-/// Machines alike in type, zone and whether they are spot instances.
+/// Machines of the same type and zone that are all spot instances or all ordinary ones.
 struct MachineKind<'a> {
     machine_type: &'a str,
     zone: &'a str,
     spot: bool,
-    /// The most that any of them has free; less may be left by now.
+    /// Largest free amount of each resource on any of the machines when the pass began.
     max_free: Resources,
-    /// Their places among the candidates.
-    places: Vec<usize>,
+    /// Indexes of the machines in [`CandidateMachines::machines`].
+    machine_indexes: Vec<usize>,
 }
 
 impl<'a> MachineKind<'a> {
@@ -111,7 +121,7 @@
             zone: &machine.spec.zone,
             spot: machine.spec.spot,
             max_free: free,
-            places: Vec::new(),
+            machine_indexes: Vec::new(),
         }
     }
 
@@ -122,20 +132,22 @@
     }
 }
 
-/// The machines that a pass may use.
+/// Machines that a pass may use.
 pub struct CandidateMachines<'a> {
     pub(super) machines: Vec<CandidateMachine<'a>>,
     kinds: Vec<MachineKind<'a>>,
-    /// The most that any machine has free.
+    /// Free capacity of the machine if the pass covers a single one; not computed, and not used,
+    /// for a pass over the whole partition.
     pub(super) max_free: Resources,
-    /// Room is held only by passes that see the whole partition.
+    /// Whether the pass covers the whole partition. Only such a pass holds machines for a job
+    /// that fits on none.
     pub(super) is_whole_partition: bool,
-    /// Machines compared with a class so far: what a pass costs.
+    /// Number of comparisons of a job with a machine so far: the cost of the pass.
     pub(super) machines_compared: usize,
 }
 
 impl<'a> CandidateMachines<'a> {
-    /// All machines of the partition that can be used now.
+    /// Returns all machines of the partition that accept tasks now.
     pub fn of_partition(snapshot: &SchedulingSnapshot<'a>) -> Self {
         let machines: Vec<CandidateMachine<'a>> = snapshot
             .machines
@@ -152,14 +164,15 @@
         }
     }
 
-    /// One machine, on which room got free.
+    /// Returns a single machine, on which capacity became free; `None` if the machine is unknown
+    /// or accepts no tasks now.
     pub fn of_machine(snapshot: &SchedulingSnapshot<'a>, id: &'a MachineId) -> Option<Self> {
         let machine = snapshot.machines.get(id)?;
         if !accepts_tasks(machine, snapshot.now, snapshot.heartbeat_timeout) {
             return None;
         }
         let mut candidate = CandidateMachine::new(id, machine);
-        // Held room stays held while the job that it is for still waits.
+        // The hold lasts as long as the job still has waiting tasks.
         let still_waits = |id: &&JobId| {
             let job = snapshot.jobs.get(*id);
             job.is_some_and(|job| !job.waiting().is_empty())
@@ -175,17 +188,18 @@
         })
     }
 
-    /// How many machines there are.
+    /// Returns the number of machines.
     pub fn len(&self) -> usize {
         self.machines.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no machines.
     pub fn is_empty(&self) -> bool {
         self.machines.is_empty()
     }
 
-    /// The machines where a task fits now, by their places, the best one last.
+    /// Returns the indexes of the machines on which a task of the job fits now, in ascending
+    /// order of score: the best one is the last.
     pub(super) fn candidates(
         &mut self,
         snapshot: &SchedulingSnapshot<'_>,
@@ -194,34 +208,37 @@
     ) -> Vec<usize> {
         let desc = &*job.desc;
         let (request, image) = (desc.request(), desc.image_key());
-        let leaves = snapshot.constrained.leaves(job, snapshot.wall_clock);
+        let yielded = snapshot
+            .constrained
+            .yielded_machine_types(job, snapshot.wall_clock);
         let mut scored: Vec<(f64, usize)> = Vec::new();
         for kind in &self.kinds {
             if !request.fits_in(&kind.max_free)
                 || !desc.allows(kind.machine_type, kind.zone, kind.spot)
-                || leaves.contains(&kind.machine_type)
-                || snapshot.is_closed(job, kind.zone)
+                || yielded.contains(&kind.machine_type)
+                || snapshot.is_zone_closed_to(job, kind.zone)
             {
                 continue;
             }
-            self.machines_compared += kind.places.len();
-            for &place in &kind.places {
-                let candidate = &self.machines[place];
-                // A job that failed on a machine tries others first.
+            self.machines_compared += kind.machine_indexes.len();
+            for &machine_index in &kind.machine_indexes {
+                let candidate = &self.machines[machine_index];
+                // Skips machines on which the job failed recently: it tries others first.
                 if candidate.is_open_to(id)
                     && request.fits_in(&candidate.free)
                     && request.fits_in(&candidate.free_for(id, snapshot.now))
                     && !candidate.machine.is_avoided_by(id, snapshot.now)
                 {
-                    scored.push((candidate.score(desc, image), place));
+                    scored.push((candidate.score(desc, image), machine_index));
                 }
             }
         }
-        places_by_score(scored)
+        indexes_by_score(scored)
     }
 
-    /// A head job that fits nowhere holds freed room on the machines where it will
-    /// fit soonest, or small tasks would always take it.
+    /// Holds machines for a job that fits on none, or small tasks would always take the capacity
+    /// that becomes free. The machines on which the job lacks the smallest share of capacity are
+    /// held, since it is likely to fit there first.
     pub(super) fn hold(
         &mut self,
         id: &'a JobId,
@@ -230,10 +247,10 @@
         by_zone: &TasksByZone<'_>,
     ) {
         let request = desc.request();
-        let max_held = (waiting as usize).min(1 + self.machines.len() / MACHINES_PER_HELD);
+        let max_held = (waiting as usize).min(1 + self.machines.len() / MACHINES_PER_EXTRA_HOLD);
         let mut lacking: Vec<(f64, usize)> = Vec::new();
         self.machines_compared += self.machines.len();
-        for (place, candidate) in self.machines.iter().enumerate() {
+        for (machine_index, candidate) in self.machines.iter().enumerate() {
             let machine = candidate.machine;
             if request.fits_in(&machine.spec.capacity)
                 && desc.allows(
@@ -243,34 +260,37 @@
                 )
                 && is_zone_allowed(desc, by_zone, &machine.spec.zone)
             {
-                lacking.push((candidate.lacking_share(&request), place));
+                lacking.push((candidate.lacking_share(&request), machine_index));
             }
         }
-        for place in places_by_score(lacking).into_iter().take(max_held) {
-            self.machines[place].held_for = Some(id);
+        for machine_index in indexes_by_score(lacking).into_iter().take(max_held) {
+            self.machines[machine_index].held_for = Some(id);
         }
     }
 }
 
 fn kinds_of<'a>(machines: &[CandidateMachine<'a>]) -> Vec<MachineKind<'a>> {
     let mut kinds: Vec<MachineKind<'a>> = Vec::new();
-    for (place, candidate) in machines.iter().enumerate() {
+    for (machine_index, candidate) in machines.iter().enumerate() {
         let known = kinds
             .iter()
             .position(|kind| kind.includes(candidate.machine));
-        let index = known.unwrap_or_else(|| {
+        let kind_index = known.unwrap_or_else(|| {
             kinds.push(MachineKind::of(candidate.machine, candidate.free));
             kinds.len() - 1
         });
-        let kind = &mut kinds[index];
-        kind.places.push(place);
+        let kind = &mut kinds[kind_index];
+        kind.machine_indexes.push(machine_index);
         kind.max_free = kind.max_free.max(candidate.free);
     }
     kinds
 }
 
-/// Places by their scores, the lowest first.
-fn places_by_score(mut scored: Vec<(f64, usize)>) -> Vec<usize> {
+/// Returns the indexes in ascending order of their scores.
+fn indexes_by_score(mut scored: Vec<(f64, usize)>) -> Vec<usize> {
     scored.sort_by(|left, right| left.0.total_cmp(&right.0));
-    scored.into_iter().map(|(_, place)| place).collect()
+    scored
+        .into_iter()
+        .map(|(_, machine_index)| machine_index)
+        .collect()
 }
--- a/src/placement/capacity_requests.rs
+++ b/src/placement/capacity_requests.rs
@@ -1,4 +1,5 @@
-//! The capacity that waiting work lacks, for scaling out and for moving machines.
+//! Capacity requests: the capacity that a partition's waiting jobs lack beyond its booting
+//! machines. The leader uses them to scale out and to assign machines to partitions.
 
 use super::SchedulingSnapshot;
 use crate::clock::Micros;
@@ -7,27 +8,28 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Waiting work of one class.
+/// Missing capacity for waiting tasks that have the same requirements.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct CapacityRequest {
-    /// What a task takes.
+    /// Resources that each task requests.
     pub request: Resources,
-    /// The machine types that are allowed; none: any.
+    /// Machine types that are allowed; `None`: any type.
     pub machine_types: Option<Vec<String>>,
-    /// The only zone that is allowed; none: any.
+    /// Only zone that is allowed; `None`: any zone.
     pub zone: Option<String>,
-    /// Spot machines will do.
+    /// Whether spot machines are allowed.
     pub spot: bool,
-    /// Tasks' worth of capacity that is missing.
+    /// Number of tasks for which capacity is missing.
     pub count: u32,
-    /// How long a task runs, in seconds, as its owner estimates.
+    /// Run time of a task in seconds, as its owner estimates it.
     pub estimated_run_time_s: f64,
-    /// It has waited for so long that machines are scaled out at once.
+    /// Whether the tasks have waited so long that the missing capacity is rounded up, so that
+    /// machines are scaled out at once.
     pub waited_long: bool,
 }
 
 impl CapacityRequest {
-    /// Whether such a machine can run a task of it.
+    /// Whether a machine of this type, zone and capacity, spot or not, can run one of the tasks.
     pub fn fits(&self, machine_type: &str, zone: &str, spot: bool, capacity: &Resources) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|only| only == zone)
@@ -35,7 +37,9 @@
             && self.request.fits_in(capacity)
     }
 
-    fn is_like(&self, other: &CapacityRequest) -> bool {
+    /// Whether both requests can be merged into one: they differ at most in the number of tasks and
+    /// in the estimated run time.
+    fn can_merge_with(&self, other: &CapacityRequest) -> bool {
         self.request == other.request
             && self.machine_types == other.machine_types
             && self.zone == other.zone
@@ -44,26 +48,31 @@
     }
 }
 
-/// Machines that are booting and alike.
+/// Booting machines of the same type and zone that are all spot instances or all ordinary ones.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PendingMachines<'a> {
-    /// Of each of them.
+    /// Capacity of each machine.
     pub capacity: Resources,
-    /// Their type.
+    /// Machine type.
     pub machine_type: &'a str,
-    /// Their zone.
+    /// Zone of the machines.
     pub zone: &'a str,
-    /// Whether the cloud may take them back.
+    /// Whether they are spot instances, which the cloud may reclaim.
     pub spot: bool,
-    /// How many there are.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// Work that has waited this long scales out at once.
+/// Waiting time from which on a job's missing capacity is rounded up to whole tasks, so that it
+/// scales out at once.
 const LONG_WAIT: Micros = Micros::from_millis(10_000);
 
-/// The capacity that the partition's waiting work still lacks, after what is booting.
-/// Work shorter than `horizon` asks for a part of its capacity only.
+/// Returns the capacity that the partition's waiting jobs lack beyond that of the booting machines
+/// in `pending`, the most urgent job first.
+///
+/// A job whose estimated run time is shorter than `horizon` requests only the fraction
+/// `estimated run time / horizon` of its capacity. The scale-out factor of the operators' policy
+/// applies to every job.
 pub fn capacity_requests(
     snapshot: &SchedulingSnapshot<'_>,
     pending: &[PendingMachines<'_>],
@@ -71,12 +80,12 @@
 ) -> Vec<CapacityRequest> {
     let mut planner = Planner::new(snapshot, pending, horizon);
     for job in jobs_in_order(snapshot) {
-        planner.add(job);
+        planner.add_job(job);
     }
     planner.requests
 }
 
-/// Jobs that want machines, the most urgent first.
+/// Returns the jobs that wait for machines and may scale out, the most urgent first.
 fn jobs_in_order<'a>(snapshot: &SchedulingSnapshot<'a>) -> Vec<&'a Job> {
     let waiting = snapshot.jobs.values().filter(|job| job.wants_machines());
     let mut jobs: Vec<&Job> = waiting.collect();
@@ -93,15 +102,17 @@
     jobs
 }
 
+/// Collects the capacity requests of jobs, which are added in order of urgency.
 struct Planner<'s, 'a> {
     snapshot: &'s SchedulingSnapshot<'a>,
     horizon: Micros,
-    /// What each team may still use below its limit.
-    left: BTreeMap<usize, Resources>,
+    /// Resources that each team may still use within its limit.
+    team_headroom: BTreeMap<usize, Resources>,
+    /// Booting machines that are not assigned to a job yet.
     pending: Vec<PendingMachines<'s>>,
-    /// Tasks' worth that rounding left over: what is left of one job's part counts with the
-    /// next one's, so that nobody waits for ever because a part is small.
-    carry: f64,
+    /// Fraction of a task that rounding down took from the previous job. It is added to the next
+    /// job: otherwise jobs whose amounts are below one task could wait for ever.
+    carried_fraction: f64,
     requests: Vec<CapacityRequest>,
 }
 
@@ -111,66 +122,72 @@
         pending: &[PendingMachines<'s>],
         horizon: Micros,
     ) -> Self {
-        let left = snapshot.teams.iter().map(|&team| {
+        let team_headroom = snapshot.teams.iter().map(|&team| {
             let limit = snapshot.settings.platform.teams[team].limit();
             (team, limit - snapshot.usage.of(team).used)
         });
         Planner {
             snapshot,
             horizon,
-            left: left.collect(),
+            team_headroom: team_headroom.collect(),
             pending: pending.to_vec(),
-            carry: 0.0,
+            carried_fraction: 0.0,
             requests: Vec::new(),
         }
     }
 
-    fn add(&mut self, job: &Job) {
+    /// Adds the capacity that one job lacks.
+    fn add_job(&mut self, job: &Job) {
         let desc = &job.desc;
         let request = desc.request();
         let startable = self.startable_tasks(job);
-        let has_no_machine = self.has_no_machine(desc);
-        if job.is_failing() && !has_no_machine {
-            // Guards against machines scaled out for a job that waits because it fails, and
-            // not because it lacks capacity.
+        let has_no_suitable_machine = self.has_no_suitable_machine(desc);
+        if job.is_failing() && !has_no_suitable_machine {
+            // A failing job waits for its back-off, and not for lack of capacity. Machines are
+            // scaled out for it only if no machine is suitable.
             return;
         }
         let waited_long = self.snapshot.wall_clock.since(job.eligible_since()) >= LONG_WAIT;
-        let exact = f64::from(startable)
-            * self.part_of_run_time(desc)
+        let exact_tasks = f64::from(startable)
+            * self.fraction_of_horizon(desc)
             * job.policy_choice().scale_out_factor
-            + self.carry;
-        let mut wanted = if waited_long || has_no_machine {
-            exact.ceil()
+            + self.carried_fraction;
+        let mut wanted_tasks = if waited_long || has_no_suitable_machine {
+            exact_tasks.ceil()
         } else {
-            exact.floor()
+            exact_tasks.floor()
         } as u32;
-        self.carry = (exact - f64::from(wanted)).max(0.0);
-        wanted = wanted.min(startable);
-        if let Some(left) = self.left.get_mut(&job.team) {
-            *left -= request.scale(f64::from(wanted));
+        self.carried_fraction = (exact_tasks - f64::from(wanted_tasks)).max(0.0);
+        wanted_tasks = wanted_tasks.min(startable);
+        if let Some(headroom) = self.team_headroom.get_mut(&job.team) {
+            *headroom -= request.scale(f64::from(wanted_tasks));
         }
-        wanted -= self.serve_from_pending(desc, wanted);
-        self.request(desc, wanted, waited_long);
+        wanted_tasks -= self.serve_from_pending(desc, wanted_tasks);
+        self.add_request(desc, wanted_tasks, waited_long);
     }
 
-    /// Tasks of a job that could start now below its team's limit.
+    /// Returns the number of a job's waiting tasks that could start now within its team's limit.
     fn startable_tasks(&self, job: &Job) -> u32 {
         let request = job.desc.request();
-        self.left
+        self.team_headroom
             .get(&job.team)
-            .map_or(0, |left| request.times_in(left).min(job.waiting().len()))
+            .map_or(0, |headroom| {
+                request.times_in(headroom).min(job.waiting().len())
+            })
             .min(job.startable())
     }
 
-    /// Short tasks run one after another in the time that a boot takes.
-    fn part_of_run_time(&self, desc: &JobDesc) -> f64 {
+    /// Returns the estimated run time of a task as a fraction of the horizon, at most 1. Shorter
+    /// tasks need less capacity, since they run one after another in the time that a new machine
+    /// takes to boot.
+    fn fraction_of_horizon(&self, desc: &JobDesc) -> f64 {
         let estimate = Micros::from_secs(desc.estimated_run_time_s).0 as f64;
         (estimate / self.horizon.0.max(1) as f64).min(1.0)
     }
 
-    /// Where it has no machine at all, nothing will get free for it.
-    fn has_no_machine(&self, desc: &JobDesc) -> bool {
+    /// Whether no active and schedulable machine of the partition suits a task of the job. If so,
+    /// no capacity can become free for it without a scale-out.
+    fn has_no_suitable_machine(&self, desc: &JobDesc) -> bool {
         let request = desc.request();
         !self.snapshot.machines.values().any(|machine| {
             machine.is_active()
@@ -184,7 +201,8 @@
         })
     }
 
-    /// Takes from booting machines what serves a job; returns for how many tasks.
+    /// Assigns booting machines to a job for up to `tasks` tasks. Returns the number of tasks that
+    /// they have capacity for.
     fn serve_from_pending(&mut self, desc: &JobDesc, tasks: u32) -> u32 {
         let request = desc.request();
         let mut served = 0;
@@ -200,7 +218,8 @@
         served
     }
 
-    fn request(&mut self, desc: &JobDesc, count: u32, waited_long: bool) {
+    /// Adds a capacity request, or adds its count to an earlier request with the same requirements.
+    fn add_request(&mut self, desc: &JobDesc, count: u32, waited_long: bool) {
         if count == 0 {
             return;
         }
@@ -213,7 +232,11 @@
             estimated_run_time_s: desc.estimated_run_time_s,
             waited_long,
         };
-        match self.requests.iter_mut().find(|known| known.is_like(&new)) {
+        match self
+            .requests
+            .iter_mut()
+            .find(|known| known.can_merge_with(&new))
+        {
             Some(known) => known.count += new.count,
             None => self.requests.push(new),
         }
--- a/src/placement/constrained.rs
+++ b/src/placement/constrained.rs
@@ -1,9 +1,14 @@
-//! Work that has little choice of machines, and what leaves them to it.
+//! Constrained jobs, which fit only some machine types, and the machine types that other jobs
+//! yield to them.
 //!
-//! A class that fits only some types of machines waits for those, while another
-//! that fits more types takes them too, since it is lighter or of a higher priority.
-//! As long as the other can well wait, it leaves such machines to the class: room
-//! is held for the class on all of them, not on a few.
+//! While a constrained job waits for its machine types, a job that fits more types could keep
+//! taking their machines, because its team has a lower heaviness or because its priority is
+//! higher. As long as such a job can wait, it yields: it is placed on none of the machine types
+//! that the constrained job fits. This keeps capacity free on all machines of these types, while
+//! a hold for a single job keeps it on a few.
+//!
+//! In this module, a class is the set of constrained jobs that fit the same machine types. It is
+//! not the class that a job's description names.
 
 use super::{Queues, SchedulingSnapshot};
 use crate::clock::Micros;
@@ -11,27 +16,28 @@
 use crate::fairness::Resources;
 use crate::jobs::{Job, JobDesc, allows_machine_type};
 
-/// Waiting classes that fit only some types of machines.
+/// The machine types and the classes of constrained jobs that wait for them.
 #[derive(Debug, Default)]
 pub struct ConstrainedDemand {
+    /// Name and capacity of each machine type.
     machine_types: Vec<(String, Resources)>,
-    /// Of each class that waits: the types that it fits, by their places.
+    /// For each waiting class, whether it fits each of `machine_types`, in the same order.
     waiting: Vec<Vec<bool>>,
 }
 
-/// The part of the time within which a job should start that it may spend waiting
-/// for machines that others can't use.
-const MAX_WAIT_PART: f64 = 0.4;
-/// The same for a job whose class has no such objective but a deadline: it must
-/// have so much slack left.
+/// Fraction of its start latency objective for which a job yields machine types.
+const MAX_WAIT_FRACTION: f64 = 0.4;
+/// Slack in microseconds above which a job yields machine types if it has a deadline and no start
+/// latency objective.
 const MIN_SLACK_US: i64 = 20_000_000;
-/// The same for a job with neither: so long ago a task of it must have started.
+/// Time since its last start for which a job yields machine types if it has neither a deadline nor
+/// a start latency objective.
 const MAX_TIME_SINCE_START: Micros = Micros::from_millis(60_000);
-/// How many waiting jobs of each team are considered.
+/// Maximum number of waiting jobs of each team that are searched for constrained jobs.
 const MAX_JOBS_PER_TEAM: usize = 200;
 
 impl ConstrainedDemand {
-    /// With nothing waiting.
+    /// Creates the state for these machine types, without any waiting class.
     pub fn new(machine_types: &[MachineType]) -> Self {
         ConstrainedDemand {
             machine_types: machine_types
@@ -42,7 +48,8 @@
         }
     }
 
-    fn fitting(&self, desc: &JobDesc) -> Vec<bool> {
+    /// Returns for each machine type whether a task of the job fits and the job allows the type.
+    fn fitting_machine_types(&self, desc: &JobDesc) -> Vec<bool> {
         let request = desc.request();
         let fits = |(name, capacity): &(String, Resources)| {
             request.fits_in(capacity) && allows_machine_type(&desc.machine_types, name)
@@ -50,7 +57,9 @@
         self.machine_types.iter().map(fits).collect()
     }
 
-    /// The classes that wait now, of teams that may have more.
+    /// Returns the classes of the constrained jobs that wait now and whose team may use the
+    /// requested resources within its limit. A class has one flag for each machine type: whether
+    /// its jobs fit it.
     pub fn waiting(&self, snapshot: &SchedulingSnapshot<'_>, queues: &Queues) -> Vec<Vec<bool>> {
         let mut waiting: Vec<Vec<bool>> = Vec::new();
         for (team, queue) in queues {
@@ -63,9 +72,9 @@
             {
                 let mut after = snapshot.usage.of(*team).used;
                 after += job.desc.request();
-                let fits = self.fitting(&job.desc);
-                let has_choice_of_all = fits.iter().all(|fits| *fits);
-                if after.fits_in(&limit) && !has_choice_of_all && !waiting.contains(&fits) {
+                let fits = self.fitting_machine_types(&job.desc);
+                let fits_all_types = fits.iter().all(|fits| *fits);
+                if after.fits_in(&limit) && !fits_all_types && !waiting.contains(&fits) {
                     waiting.push(fits);
                 }
             }
@@ -73,52 +82,56 @@
         waiting
     }
 
-    /// What waits from now on.
+    /// Replaces the waiting classes by the result of [`Self::waiting`].
     pub fn set_waiting(&mut self, waiting: Vec<Vec<bool>>) {
         self.waiting = waiting;
     }
 
-    /// The types of machines that a job leaves to others for now.
-    pub fn leaves(&self, job: &Job, wall_clock: Micros) -> Vec<&str> {
+    /// Returns the names of the machine types that a job must not use for now, since it can wait
+    /// and they are yielded to constrained jobs.
+    pub fn yielded_machine_types(&self, job: &Job, wall_clock: Micros) -> Vec<&str> {
         if can_wait(job, wall_clock) {
-            self.wanted(&job.desc)
+            self.types_of_more_constrained(&job.desc)
         } else {
             Vec::new()
         }
     }
 
-    /// The types of machines that a job fits and that waiting work wants which does
-    /// not fit everywhere that the job does.
-    fn wanted(&self, desc: &JobDesc) -> Vec<&str> {
+    /// Returns the names of all machine types that fit a waiting class which is more constrained
+    /// than the job.
+    fn types_of_more_constrained(&self, desc: &JobDesc) -> Vec<&str> {
         if self.waiting.is_empty() {
             return Vec::new();
         }
-        let own = self.fitting(desc);
-        // To those that fit there and not everywhere that this job does.
+        let own = self.fitting_machine_types(desc);
+        // A class is more constrained if it does not fit one of the types that the job fits.
         let more_constrained =
             |class: &&Vec<bool>| class.iter().zip(&own).any(|(theirs, own)| *own && !theirs);
-        let mut leaves = Vec::new();
+        let mut yielded = Vec::new();
         for class in self.waiting.iter().filter(more_constrained) {
-            for (place, (name, _)) in self.machine_types.iter().enumerate() {
-                if class[place] && !leaves.contains(&name.as_str()) {
-                    leaves.push(name.as_str());
+            for (type_index, (name, _)) in self.machine_types.iter().enumerate() {
+                if class[type_index] && !yielded.contains(&name.as_str()) {
+                    yielded.push(name.as_str());
                 }
             }
         }
-        leaves
+        yielded
     }
 }
 
+/// Whether a job can wait longer for a start, and so yields machine types.
 fn can_wait(job: &Job, wall_clock: Micros) -> bool {
-    // Others wait for its end: what it waits, the whole pipeline does.
+    // Jobs with a deadline depend on this job, and its waiting time delays them all.
     if job.has_inherited_deadline() {
         return false;
     }
     match (job.start_latency_objective, job.desc.deadline_s) {
-        (Some(within), _) => wall_clock.since(job.eligible_since()) < within.part(MAX_WAIT_PART),
+        (Some(within), _) => {
+            wall_clock.since(job.eligible_since()) < within.part(MAX_WAIT_FRACTION)
+        }
         (None, Some(_)) => job.slack_us(wall_clock) > MIN_SLACK_US,
-        // Guards against small background tasks spread over machines of which others need
-        // the whole: as long as the job progresses elsewhere, it can wait for the rest.
+        // Prevents small background tasks from spreading over machines that constrained jobs
+        // need as a whole. As long as tasks of the job start elsewhere, the others can wait.
         (None, None) => wall_clock.since(job.last_start_at) < MAX_TIME_SINCE_START,
     }
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,9 +1,17 @@
-//! Which waiting task goes where: lightest team first, like tasks as a class.
+//! Placement: decides which waiting tasks start on which machines, which running attempts are
+//! preempted for waiting jobs, and how much capacity is missing.
 //!
-//! What a pass costs is bounded by what waits and by the machines that have room
-//! for it, not by the size of the fleet: heaviness is computed from kept usage, a class
-//! is compared with the most room of each kind of machine before any of them is
-//! compared, and room that gets free on one machine is refilled alone.
+//! Each placement goes to the team with the lowest heaviness (see [`crate::fairness`]). Tasks
+//! with the same requirements are decided alike: if one of them fits on no machine, the others
+//! are skipped.
+//!
+//! The cost of a pass depends on the number of waiting jobs and of machines with free capacity
+//! for them, not on the size of the fleet:
+//!
+//! - Heaviness is computed from usage that is kept up to date between passes.
+//! - A request is compared with the largest free capacity of each kind of machine first, and
+//!   with the single machines of a kind only if it fits there.
+//! - Capacity that becomes free on one machine is refilled by a pass over that machine alone.
 
 mod candidates;
 mod capacity_requests;
--- a/src/placement/pass.rs
+++ b/src/placement/pass.rs
@@ -1,4 +1,7 @@
-//! One pass: which waiting tasks start now and where, lightest team first.
+//! A placement pass: decides which waiting tasks start now and on which machines.
+//!
+//! In each step, the team with the lowest heaviness places one task of its next job or skips the
+//! job. The pass ends when no team has a job left or the limit of placements is reached.
 
 use super::zone_constraints::{TasksByZone, is_zone_allowed, tasks_by_zone};
 use super::{CandidateMachines, QueuedJob, Queues, SchedulingSnapshot, is_launchable, is_starved};
@@ -7,38 +10,42 @@
 use crate::jobs::{Job, JobDesc};
 use std::collections::BTreeMap;
 
-/// A decision: this task on this machine.
+/// The decision to start a task on a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
-    /// The job.
+    /// Id of the task's job.
     pub job: JobId,
-    /// Which of its tasks.
+    /// Index of the task in its job.
     pub index: u32,
-    /// The machine that it goes to.
+    /// Machine on which the task starts.
     pub machine: MachineId,
 }
 
-/// What a pass has decided.
+/// The result of a pass.
 #[derive(Debug, Default)]
 pub struct PlacementPass {
-    /// What to start.
+    /// Tasks to start, in the order in which they were decided.
     pub placements: Vec<Placement>,
-    /// The head job that fits nowhere, and the machines that are held for it.
+    /// The first job that fits on no machine, and the machines that are held for it; `None`: no job
+    /// has machines held for it.
     pub held: Option<(JobId, Vec<MachineId>)>,
-    /// Machines compared with a class: what the pass cost.
+    /// Number of comparisons of a job with a machine: the cost of the pass.
     pub machines_compared: usize,
 }
 
-/// Bounds of a pass.
+/// Limits that bound the cost of a pass.
 #[derive(Debug, Clone, Copy)]
 pub struct PassLimits {
-    /// Jobs of each team that are considered at most.
+    /// Maximum number of jobs that are considered of each team.
     pub max_jobs_per_team: usize,
-    /// Tasks that are placed at most.
+    /// Maximum number of tasks that are placed.
     pub max_placements: usize,
 }
 
-/// Decides what to start now, best first.
+/// Runs a pass over `machines` and returns the tasks to start on them now.
+///
+/// `queues` must come from [`super::build_queues`]. The last jobs of each queue are considered, up
+/// to the limit: they are the most urgent ones.
 pub fn run_pass<'a>(
     snapshot: &SchedulingSnapshot<'a>,
     queues: &'a Queues,
@@ -65,68 +72,75 @@
         teams,
         placements: Vec::new(),
         progress: BTreeMap::new(),
-        hopeless: Vec::new(),
+        unplaceable: Vec::new(),
         held: None,
     };
     pass.run(limits.max_placements)
 }
 
-/// Tasks that are decided alike: if one finds no room, none does.
+/// Requirements of a job's tasks. If a task fits on no machine, neither does any other task with
+/// the same requirements.
 #[derive(Debug, Clone, PartialEq)]
-struct ResourceShape<'a> {
+struct TaskRequirements<'a> {
     request: Resources,
     machine_types: Option<&'a [String]>,
     zone: Option<&'a str>,
     spot: bool,
-    /// Jobs bound to zones by their own tasks are their own class.
-    own: Option<&'a JobId>,
+    /// Set for a job with a zone constraint, which depends on where its other tasks are: no other
+    /// job has the same requirements.
+    zone_bound_job: Option<&'a JobId>,
 }
 
-impl<'a> ResourceShape<'a> {
+impl<'a> TaskRequirements<'a> {
     fn of(desc: &'a JobDesc) -> Self {
-        ResourceShape {
+        TaskRequirements {
             request: desc.request(),
             machine_types: desc.machine_types.as_deref(),
             zone: desc.zone.as_deref(),
             spot: desc.spot,
-            own: (desc.single_zone || desc.anti_affinity).then_some(&desc.id),
+            zone_bound_job: (desc.single_zone || desc.anti_affinity).then_some(&desc.id),
         }
     }
 }
 
-/// A team in a pass, with its jobs that are left to decide; the next one is the last.
+/// A team in a pass, with the jobs that are not decided yet. The last job is decided next.
 struct TeamQueue<'a> {
     team: usize,
     heaviness: f64,
     jobs: &'a [QueuedJob],
 }
 
-/// What a pass keeps of a job that it has considered.
+/// State that a pass keeps for each job for which it has searched a machine.
 struct JobProgress<'a> {
-    /// Its machines that are left, the best one last.
+    /// Indexes of the machines on which its tasks may still fit, the best one last.
     candidates: Vec<usize>,
     tasks_by_zone: TasksByZone<'a>,
+    /// Number of its tasks that this pass has placed.
     placed: u32,
 }
 
-/// What a decision about a team's next job leads to.
+/// The result of deciding about a team's next job.
 enum Decision {
-    /// One task of it was placed.
+    /// One task of the job was placed; the job is decided again for its next task.
     Placed,
-    /// Nothing more of this job in this pass.
+    /// No further task of this job is placed in this pass.
     SkipJob,
-    /// Nothing more of this team in this pass.
+    /// No further task of this team is placed in this pass.
     SkipTeam,
 }
 
+/// The state of a running pass.
 struct Pass<'s, 'a> {
     snapshot: &'s SchedulingSnapshot<'a>,
+    /// Usage by team, including the tasks that this pass has placed.
     usage: UsageByTeam,
     machines: CandidateMachines<'a>,
     teams: Vec<TeamQueue<'a>>,
     placements: Vec<Placement>,
     progress: BTreeMap<&'a JobId, JobProgress<'a>>,
-    hopeless: Vec<ResourceShape<'a>>,
+    /// Requirements that no machine was found to meet.
+    unplaceable: Vec<TaskRequirements<'a>>,
+    /// The job for which machines are held.
     held: Option<&'a JobId>,
 }
 
@@ -141,67 +155,70 @@
         self.finish()
     }
 
-    /// The lightest team, among those with something left to decide.
+    /// Returns the index in `teams` of the team with the lowest heaviness; `None`: no team is left.
     fn lightest_team(&self) -> Option<usize> {
         let teams = self.teams.iter().enumerate();
         let lightest =
             teams.min_by(|(_, left), (_, right)| left.heaviness.total_cmp(&right.heaviness));
-        lightest.map(|(place, _)| place)
+        lightest.map(|(queue_index, _)| queue_index)
     }
 
-    fn advance(&mut self, place: usize) {
-        let TeamQueue { team, jobs, .. } = self.teams[place];
+    /// Decides about the next job of a team, or drops the teams that have no job left.
+    fn advance(&mut self, queue_index: usize) {
+        let TeamQueue { team, jobs, .. } = self.teams[queue_index];
         let Some((queued, rest)) = jobs.split_last() else {
             self.teams.retain(|queue| !queue.jobs.is_empty());
             return;
         };
         match self.decide(team, queued) {
             Decision::Placed => {}
-            Decision::SkipJob => self.teams[place].jobs = rest,
-            Decision::SkipTeam => self.teams[place].jobs = &[],
+            Decision::SkipJob => self.teams[queue_index].jobs = rest,
+            Decision::SkipTeam => self.teams[queue_index].jobs = &[],
         }
     }
 
+    /// Places the next task of a job, or decides that the job or its whole team is skipped.
     fn decide(&mut self, team: usize, queued: &'a QueuedJob) -> Decision {
-        if !self.may_fit(queued) {
+        if !self.needs_examination(queued) {
             return Decision::SkipJob;
         }
         let Some((job, index)) = self.next_task(&queued.id) else {
             return Decision::SkipJob;
         };
         if !self.is_within_limit(team, job) {
-            // One that starves needs the room below the limit that others of its team
-            // would take again and again.
+            // Other jobs of the team must not take the part of the team's limit that a starved job
+            // waits for, or the starved job might never start.
             return if is_starved(job, self.snapshot.wall_clock) {
                 Decision::SkipTeam
             } else {
                 Decision::SkipJob
             };
         }
-        if self.hopeless.contains(&ResourceShape::of(&job.desc)) {
+        if self.unplaceable.contains(&TaskRequirements::of(&job.desc)) {
             return Decision::SkipJob;
         }
         match self.best_machine(&queued.id, job) {
-            Some(machine) => {
-                self.place(team, &queued.id, job, index, machine);
+            Some(machine_index) => {
+                self.place(team, &queued.id, job, index, machine_index);
                 Decision::Placed
             }
             None => {
-                self.note_no_room(&queued.id, job);
+                self.record_unplaceable(&queued.id, job);
                 Decision::SkipJob
             }
         }
     }
 
-    /// Where nothing is held, what fits into no room at all needs no closer comparison; but
-    /// others of its team must not pass one that starves below the limit.
-    fn may_fit(&self, queued: &QueuedJob) -> bool {
+    /// Whether a job must be examined further. In a pass over a single machine, which holds no
+    /// capacity, a job that exceeds the machine's free capacity is skipped at once. A starved job
+    /// is always examined, since it may have to keep other jobs of its team from starting.
+    fn needs_examination(&self, queued: &QueuedJob) -> bool {
         self.machines.is_whole_partition
             || queued.is_starved
             || queued.request.fits_in(&self.machines.max_free)
     }
 
-    /// The next task of a job that may be launched.
+    /// Returns the job and the index of its next waiting task, if it may be launched now.
     fn next_task(&self, id: &JobId) -> Option<(&'a Job, u32)> {
         let job = self.snapshot.jobs.get(id)?;
         if !is_launchable(job, self.snapshot.now, self.snapshot.recovery) {
@@ -216,13 +233,14 @@
         self.progress.get(id).map_or(0, |progress| progress.placed)
     }
 
+    /// Whether one more task of a job is within its team's limit.
     fn is_within_limit(&self, team: usize, job: &Job) -> bool {
         let mut after = self.usage.of(team).used;
         after += job.desc.request();
         after.fits_in(&self.snapshot.settings.platform.teams[team].limit())
     }
 
-    /// The best machine for the next task of a job, by its place among the candidates.
+    /// Returns the index of the best machine for the next task of a job; `None`: it fits on none.
     fn best_machine(&mut self, id: &'a JobId, job: &'a Job) -> Option<usize> {
         let (snapshot, machines) = (self.snapshot, &mut self.machines);
         let progress = self.progress.entry(id).or_insert_with(|| JobProgress {
@@ -231,33 +249,36 @@
             placed: 0,
         });
         let request = job.desc.request();
-        // Others may have used a candidate since.
-        while let Some(&place) = progress.candidates.last() {
-            let candidate = &machines.machines[place];
+        // Tasks placed since the candidates were computed may have used their capacity.
+        while let Some(&machine_index) = progress.candidates.last() {
+            let candidate = &machines.machines[machine_index];
             let zone = &candidate.machine.spec.zone;
             if request.fits_in(&candidate.free_for(id, snapshot.now))
                 && is_zone_allowed(&job.desc, &progress.tasks_by_zone, zone)
             {
-                return Some(place);
+                return Some(machine_index);
             }
             progress.candidates.pop();
         }
         None
     }
 
-    /// A job found no room: its like need not be tried, and the first one holds room.
-    fn note_no_room(&mut self, id: &'a JobId, job: &'a Job) {
-        // A job that avoids machines, or leaves them to others for now, says nothing about
-        // its like, and holds nothing.
-        let leaves = self
+    /// Records that a job fits on no machine. Jobs with the same requirements need not be tried any
+    /// more. In a pass over the whole partition, machines are held for the first such job.
+    fn record_unplaceable(&mut self, id: &'a JobId, job: &'a Job) {
+        // A job that yields machine types for now may fit there. Other jobs with the same
+        // requirements need not yield these types, and no machine is held for the job.
+        let yielded = self
             .snapshot
             .constrained
-            .leaves(job, self.snapshot.wall_clock);
-        if !leaves.is_empty() {
+            .yielded_machine_types(job, self.snapshot.wall_clock);
+        if !yielded.is_empty() {
             return;
         }
+        // A job that avoids machines on which it failed says nothing about other jobs with the
+        // same requirements.
         if job.failed_on().is_empty() {
-            self.hopeless.push(ResourceShape::of(&job.desc));
+            self.unplaceable.push(TaskRequirements::of(&job.desc));
         }
         if self.machines.is_whole_partition && self.held.is_none() {
             let waiting = job.waiting().len() - self.placed(id);
@@ -272,9 +293,10 @@
         }
     }
 
-    fn place(&mut self, team: usize, id: &'a JobId, job: &Job, index: u32, place: usize) {
+    /// Places a task on a machine, and updates the machine, the job and its team.
+    fn place(&mut self, team: usize, id: &'a JobId, job: &Job, index: u32, machine_index: usize) {
         let request = job.desc.request();
-        let candidate = &mut self.machines.machines[place];
+        let candidate = &mut self.machines.machines[machine_index];
         if let Some(progress) = self.progress.get_mut(id) {
             let zone = candidate.machine.spec.zone.as_str();
             *progress.tasks_by_zone.entry(zone).or_default() += 1;
@@ -296,7 +318,8 @@
         self.update_heaviness(&teams_on_machine);
     }
 
-    /// A machine's load changed: so did the endowments of all teams on it.
+    /// Recomputes the heaviness of the teams that have tasks on a machine whose load changed: the
+    /// endowment of each of these tasks depends on all requests on the machine.
     fn update_heaviness(&mut self, changed: &[usize]) {
         for queue in &mut self.teams {
             if changed.contains(&queue.team) {
@@ -322,7 +345,7 @@
     }
 }
 
-/// The task that comes `n` places after the first that waits.
-fn nth_waiting(job: &Job, n: u32) -> Option<u32> {
-    job.waiting().nth(n)
+/// Returns the index of the job's waiting task at this position, counted from 0.
+fn nth_waiting(job: &Job, position: u32) -> Option<u32> {
+    job.waiting().nth(position)
 }
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -1,5 +1,8 @@
-//! What to stop, for whom: work of a lower priority, or work above its team's
-//! guarantee for a team below its own, and only where little is lost.
+//! Preemption: decides which attempts are stopped to free capacity for waiting jobs.
+//!
+//! An attempt may be stopped for a job of higher priority, or for a job of a team below its
+//! guarantee if the attempt's own team is above its guarantee. In both cases the work lost must
+//! be small compared with the work that the freed capacity is used for.
 
 mod victims;
 
@@ -16,49 +19,53 @@
 /// An attempt to be stopped.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Victim {
-    /// Which.
+    /// Key of the attempt.
     pub key: AttemptKey,
-    /// The time that it needs to save, in seconds.
+    /// Time that the attempt gets for writing a checkpoint, in seconds.
     pub grace_period_s: f64,
 }
 
-/// Work to be stopped on a machine for a job, and the room that this keeps for it.
+/// The attempts to be stopped on one machine for a job, and the reservation of the freed capacity.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachinePreemption {
-    /// Where work is stopped.
+    /// Machine on which the attempts are stopped.
     pub machine: MachineId,
-    /// What is stopped.
+    /// Attempts that are stopped.
     pub victims: Vec<Victim>,
-    /// The room that this frees, and for whom.
+    /// Reservation of capacity on the machine for the preempting job.
     pub reserve: Reservation,
 }
 
-/// What was decided to be stopped.
+/// The result of planning preemptions.
 #[derive(Debug, Default)]
 pub struct PreemptionPlan {
-    /// What to stop, by machine.
+    /// Preemptions, at most one for each machine and preempting job.
     pub preemptions: Vec<MachinePreemption>,
-    /// Machines compared with a job: what the decision cost.
+    /// Number of comparisons of a job with a machine: the cost of planning.
     pub machines_compared: usize,
 }
 
-/// A deadline this near is threatened, in microseconds of slack.
-const THREATENED_SLACK_US: i64 = 8_000_000;
-/// A deadline missed by this is lost, in microseconds.
+/// Slack in microseconds below which a job is likely to miss its deadline and may preempt.
+const MAX_PREEMPTING_SLACK_US: i64 = 8_000_000;
+/// Lateness in microseconds beyond which a deadline is lost: preemption does not help any more.
 const MAX_LATENESS_US: i64 = 2_000_000;
-/// Work without a deadline preempts only after having waited for this.
-const PATIENCE: Micros = Micros::from_millis(10_000);
-/// Part of its start latency objective that a job which starts immediately may wait.
-const IMMEDIATE_WAIT_PART: f64 = 0.3;
-/// The same for any other job without a deadline.
-const WAIT_PART: f64 = 0.5;
-/// Room that was freed for a job is kept for it this long.
+/// Minimum time that a job without a deadline waits before it may preempt.
+const MIN_WAIT_WITHOUT_DEADLINE: Micros = Micros::from_millis(10_000);
+/// Fraction of its start latency objective for which a job that must start immediately waits before
+/// it may preempt.
+const IMMEDIATE_WAIT_FRACTION: f64 = 0.3;
+/// Fraction of its start latency objective for which any other job without a deadline waits before
+/// it may preempt.
+const WAIT_FRACTION: f64 = 0.5;
+/// Time for which the freed capacity is reserved for the preempting job.
 const RESERVATION_TIMEOUT: Micros = Micros::from_millis(8_000);
-/// Each job that is considered costs an iteration over the machines.
-const MAX_JOBS: usize = 6;
+/// Maximum number of jobs that may preempt in one run. Each of them costs an iteration over the
+/// machines.
+const MAX_PREEMPTING_JOBS: usize = 6;
 
-/// Decides what to stop: for work of a higher priority, or so that a team gets its
-/// guarantee from one that runs above its own. Only if little is lost for what is won.
+/// Decides which attempts to stop for jobs of a higher priority, and for jobs of a team below its
+/// guarantee at the expense of teams above theirs. Attempts are stopped only if little work is
+/// lost compared with the work gained.
 pub fn plan_preemption(snapshot: &SchedulingSnapshot<'_>) -> PreemptionPlan {
     let jobs = preempting_jobs(snapshot);
     if jobs.is_empty() {
@@ -71,22 +78,24 @@
     planner.plan
 }
 
-/// The jobs for which others may be stopped, in the order in which they are served.
+/// Returns the jobs for which attempts may be stopped, in the order in which they are served: by
+/// priority, then the heaviness of their team, then slack.
 fn preempting_jobs<'a>(snapshot: &SchedulingSnapshot<'a>) -> Vec<(&'a JobId, &'a Job)> {
     let mut jobs: Vec<(&JobId, &Job)> = snapshot
         .jobs
         .iter()
         .filter(|(_, job)| is_launchable(job, snapshot.now, snapshot.recovery))
-        .filter(|(_, job)| is_pressing(job, snapshot.wall_clock))
-        // Where its tasks may go changes with each; it waits for its turn.
+        .filter(|(_, job)| needs_preemption(job, snapshot.wall_clock))
+        // The zones allowed for these jobs change with each task that is placed. They wait for
+        // free capacity instead.
         .filter(|(_, job)| !job.desc.single_zone && !job.desc.anti_affinity)
         .collect();
     if jobs.is_empty() {
         return jobs;
     }
-    // Guards against comparing all machines for work that may stop nothing there: with the
-    // fleet full that took most of the owner's processor time, until it could not read its
-    // machines' heartbeats.
+    // Drops jobs that may stop no attempt before any machine is compared for them. With a full
+    // fleet, these comparisons took most of the owner's processor time, until it could not read
+    // its machines' heartbeats.
     let lowest = lowest_running_priority(snapshot);
     jobs.retain(|(_, job)| {
         lowest.is_some_and(|lowest| lowest < job.effective_priority())
@@ -110,28 +119,32 @@
                     .cmp(&right.slack_us(snapshot.wall_clock)),
             )
     });
-    jobs.truncate(MAX_JOBS);
+    jobs.truncate(MAX_PREEMPTING_JOBS);
     jobs
 }
 
-/// Whether stopping others still helps a job, and waiting longer would not do:
-/// its deadline is near but not lost, or it has none and has waited for long.
-fn is_pressing(job: &Job, wall_clock: Micros) -> bool {
+/// Whether a job needs preemption now. A job that must start immediately needs it after a fraction
+/// of its start latency objective, unless its deadline is lost. Any other job with a deadline needs
+/// it while the deadline is near but not lost, and a job without a deadline after a minimum wait.
+fn needs_preemption(job: &Job, wall_clock: Micros) -> bool {
     let waited = wall_clock.since(job.eligible_since());
     match (starts_immediately(job), job.effective_deadline()) {
         (Some(within), _) if job.slack_us(wall_clock) >= -MAX_LATENESS_US => {
-            waited >= within.part(IMMEDIATE_WAIT_PART)
+            waited >= within.part(IMMEDIATE_WAIT_FRACTION)
+        }
+        (_, Some(_)) => {
+            (-MAX_LATENESS_US..MAX_PREEMPTING_SLACK_US).contains(&job.slack_us(wall_clock))
         }
-        (_, Some(_)) => (-MAX_LATENESS_US..THREATENED_SLACK_US).contains(&job.slack_us(wall_clock)),
         (_, None) => {
             let objective = job.start_latency_objective;
-            let part = objective.map_or(Micros::ZERO, |within| within.part(WAIT_PART));
-            waited >= PATIENCE.max(part)
+            let min_wait = objective.map_or(Micros::ZERO, |within| within.part(WAIT_FRACTION));
+            waited >= MIN_WAIT_WITHOUT_DEADLINE.max(min_wait)
         }
     }
 }
 
-/// The lowest priority of which anything is on a machine.
+/// Returns the lowest effective priority of all jobs that have a task on a machine; `None`: no job
+/// has one.
 fn lowest_running_priority(snapshot: &SchedulingSnapshot<'_>) -> Option<Priority> {
     let running = snapshot
         .jobs
@@ -140,15 +153,15 @@
     running.map(Job::effective_priority).min()
 }
 
-/// Whether one more task of a job is within its team's guarantee.
+/// Whether one more task of the job is within its team's guarantee.
 fn is_guaranteed(snapshot: &SchedulingSnapshot<'_>, job: &Job) -> bool {
     let team = &snapshot.settings.platform.teams[job.team];
     let used = snapshot.usage.of(job.team).used;
     fits_guarantee(team, used, job.desc.request())
 }
 
-/// Whether a request fits the team's guarantee beside what the team uses. Memory is not
-/// guaranteed.
+/// Whether a team that uses `used` stays within its guarantee with one more request. Memory is not
+/// guaranteed and has no bound here.
 fn fits_guarantee(team: &Team, used: Resources, request: Resources) -> bool {
     let mut after = used;
     after += request;
@@ -157,9 +170,10 @@
     after.fits_in(&bound)
 }
 
-/// What a machine has free for preempting work: with what is being stopped, since that was
-/// stopped for someone, and without what is reserved.
-fn free_with_stopping(machine: &Machine, now: Micros) -> Resources {
+/// Returns the capacity of a machine that is free for preempting jobs. Attempts that are being
+/// stopped count as free: they were stopped for a job, and the capacity reserved for that job is
+/// subtracted.
+fn free_after_stops(machine: &Machine, now: Micros) -> Resources {
     let mut free = machine.spec.capacity - machine.load.summed;
     for attempt in machine.attempts.values() {
         if attempt.is_stopping() && attempt.phase != AttemptPhase::Exited {
@@ -172,12 +186,14 @@
     free
 }
 
+/// Plans preemptions for one job after another.
 struct Planner<'s, 'a> {
     snapshot: &'s SchedulingSnapshot<'a>,
-    /// As it will be once all that was chosen has stopped.
+    /// Usage by team as it will be when all chosen attempts have stopped.
     usage: UsageByTeam,
-    free: BTreeMap<&'a MachineId, Resources>,
-    /// Attempts that were chosen so far.
+    /// Free capacity of each usable machine as it will be when all chosen attempts have stopped.
+    free_by_machine: BTreeMap<&'a MachineId, Resources>,
+    /// Attempts that were chosen to be stopped so far.
     chosen: BTreeSet<AttemptKey>,
     plan: PreemptionPlan,
 }
@@ -189,8 +205,8 @@
         });
         Planner {
             usage: snapshot.usage.clone(),
-            free: usable
-                .map(|(id, machine)| (id, free_with_stopping(machine, snapshot.now)))
+            free_by_machine: usable
+                .map(|(id, machine)| (id, free_after_stops(machine, snapshot.now)))
                 .collect(),
             snapshot,
             chosen: BTreeSet::new(),
@@ -198,6 +214,7 @@
         }
     }
 
+    /// Plans preemptions for the waiting tasks of one job.
     fn plan_for(&mut self, id: &JobId, job: &Job) {
         let request = job.desc.request();
         let reserved = self.reserved_tasks(id);
@@ -207,21 +224,21 @@
         let mut pending = request
             .times_in(&(team.limit() - used))
             .min(job.waiting().len().saturating_sub(reserved));
-        pending -= self.take_free_room(id, job, pending);
+        pending -= self.take_free_capacity(id, job, pending);
         if pending == 0 {
             return;
         }
         let is_guaranteed = fits_guarantee(team, used, request);
-        self.plan.machines_compared += self.free.len();
+        self.plan.machines_compared += self.free_by_machine.len();
         for plan in self.machine_plans(id, job, pending, is_guaranteed) {
             if pending == 0 {
                 break;
             }
-            pending -= self.choose(id, request, plan, pending);
+            pending -= self.add_to_plan(id, request, plan, pending);
         }
     }
 
-    /// Tasks of a job for which room is kept already.
+    /// Returns the number of tasks of a job for which capacity is reserved already.
     fn reserved_tasks(&self, id: &JobId) -> u32 {
         let machines = self.snapshot.machines.values();
         machines
@@ -231,34 +248,35 @@
             .sum()
     }
 
+    /// Whether a task of the job may be placed on the machine, whatever is free there.
     fn is_allowed(&self, id: &JobId, job: &Job, machine: &Machine) -> bool {
         job.desc.allows(
             &machine.spec.machine_type,
             &machine.spec.zone,
             machine.spec.spot,
         ) && !machine.is_avoided_by(id, self.snapshot.now)
-            && !self.snapshot.is_closed(job, &machine.spec.zone)
+            && !self.snapshot.is_zone_closed_to(job, &machine.spec.zone)
     }
 
-    /// Room that another's preemption left over, for so many tasks at most; returns for how
-    /// many.
-    fn take_free_room(&mut self, id: &JobId, job: &Job, pending: u32) -> u32 {
+    /// Takes free capacity for up to `pending` tasks of a job, such as capacity that a preemption
+    /// for another job left over. Returns the number of tasks that it suffices for.
+    fn take_free_capacity(&mut self, id: &JobId, job: &Job, pending: u32) -> u32 {
         let request = job.desc.request();
         let mut taken = 0;
-        let mut free = std::mem::take(&mut self.free);
-        for (machine, room) in &mut free {
-            let count = request.times_in(room).min(pending - taken);
+        let mut free_by_machine = std::mem::take(&mut self.free_by_machine);
+        for (machine, free) in &mut free_by_machine {
+            let count = request.times_in(free).min(pending - taken);
             if count > 0 && self.is_allowed(id, job, &self.snapshot.machines[*machine]) {
-                *room -= request.scale(f64::from(count));
+                *free -= request.scale(f64::from(count));
                 taken += count;
             }
         }
-        self.free = free;
+        self.free_by_machine = free_by_machine;
         taken
     }
 
-    /// What could be stopped on each machine, the cheapest first: one iteration over the
-    /// machines for the whole class.
+    /// Returns what could be stopped on each machine, the lowest loss ratio first. Iterates over
+    /// the machines once for all pending tasks of the job.
     fn machine_plans(
         &self,
         id: &JobId,
@@ -276,20 +294,21 @@
         };
         let request = job.desc.request();
         let mut plans: Vec<MachinePlan<'a>> = self
-            .free
+            .free_by_machine
             .iter()
             .filter(|(machine, _)| {
                 let machine = &self.snapshot.machines[**machine];
                 self.is_allowed(id, job, machine) && request.fits_in(&machine.spec.capacity)
             })
-            .filter_map(|(machine, room)| search.on_machine(machine, *room))
+            .filter_map(|(machine, free)| search.on_machine(machine, *free))
             .collect();
-        plans.sort_by(|left, right| left.price.total_cmp(&right.price));
+        plans.sort_by(|left, right| left.loss_ratio.total_cmp(&right.loss_ratio));
         plans
     }
 
-    /// Carries a machine's plan into the whole one; returns for how many tasks.
-    fn choose(
+    /// Adds the plan for one machine to the whole plan. Returns the number of tasks that it frees
+    /// capacity for.
+    fn add_to_plan(
         &mut self,
         id: &JobId,
         request: Resources,
@@ -297,7 +316,7 @@
         pending: u32,
     ) -> u32 {
         let machine = &self.snapshot.machines[plan.machine];
-        let Some(room) = self.free.get_mut(plan.machine) else {
+        let Some(free) = self.free_by_machine.get_mut(plan.machine) else {
             return 0;
         };
         let count = plan.count.min(pending);
@@ -305,7 +324,7 @@
         self.usage.remove(&load, machine.spec.capacity);
         for victim in &plan.victims {
             if let Some(attempt) = machine.attempts.get(&victim.key) {
-                *room += attempt.request();
+                *free += attempt.request();
                 if let Some(demand) = attempt.demand {
                     load.take(demand.team, demand.request.scale(-1.0));
                 }
@@ -313,7 +332,7 @@
             self.chosen.insert(victim.key.clone());
         }
         self.usage.add(&load, machine.spec.capacity);
-        *room -= request.scale(f64::from(count));
+        *free -= request.scale(f64::from(count));
         self.plan.preemptions.push(MachinePreemption {
             machine: plan.machine.clone(),
             victims: plan.victims,
--- a/src/placement/preemption/victims.rs
+++ b/src/placement/preemption/victims.rs
@@ -1,4 +1,5 @@
-//! Which attempts on a machine may be stopped for a job, and what that costs.
+//! The choice of victims: which attempts on a machine may be stopped for a job, and how much work
+//! that loses.
 
 use super::{SchedulingSnapshot, Victim};
 use crate::clock::Micros;
@@ -8,46 +9,50 @@
 use crate::workers::{Attempt, AttemptKey, AttemptPhase};
 use std::collections::BTreeSet;
 
-/// A job must have this much slack for a task of it to be stopped, in microseconds.
-const MIN_SLACK_US: i64 = 15_000_000;
-/// The same, as a multiple, where it is stopped for one that starts immediately.
+/// Slack in microseconds that an attempt's job must exceed for the attempt to be stopped.
+const MIN_VICTIM_SLACK_US: i64 = 15_000_000;
+/// Multiple of [`MIN_VICTIM_SLACK_US`] that is required if the attempt is stopped for a job that
+/// must start immediately.
 const IMMEDIATE_SLACK_FACTOR: i64 = 2;
-/// The same where it waits for room itself.
+/// Multiple of [`MIN_VICTIM_SLACK_US`] that is required if, in addition, the attempt's own job has
+/// waiting tasks.
 const IMMEDIATE_SLACK_FACTOR_WAITING: i64 = 4;
-/// A start latency objective up to this is met only by starting immediately: room gets free
-/// by itself, or a machine boots, later than that.
+/// Longest start latency objective that requires an immediate start: capacity becomes free by
+/// itself, or a new machine boots, only after a longer time.
 const IMMEDIATE_START: Micros = Micros::from_millis(10_000);
-/// Work this close to its end is not worth stopping, in seconds.
+/// Remaining run time in seconds below which stopping an attempt is not worthwhile. The job's
+/// checkpoint duration is added to it.
 const NEARLY_DONE_S: f64 = 3.0;
-/// Stopping and starting once more costs this much besides what is lost, in seconds.
-const RESTART_S: f64 = 2.0;
-/// Seconds that saving may take beyond what the job says.
+/// Time in seconds that stopping and restarting a task costs in addition to the lost run time.
+const RESTART_OVERHEAD_S: f64 = 2.0;
+/// Time in seconds that writing a checkpoint may take beyond the duration that the job states.
 const CHECKPOINT_MARGIN_S: f64 = 1.0;
-/// A task counts as using at least so many cores.
+/// Minimum number of cores that a task is counted with, for tasks that request fewer or none.
 const MIN_CORES: f64 = 0.1;
-/// A task counts as running for at least so long, in seconds.
+/// Minimum run time in seconds that a task is counted with.
 const MIN_RUN_TIME_S: f64 = 1.0;
-/// What is lost may be this part of what is won. Measured: at the whole of it,
-/// stopping cost all classes more than it gave the one that it was for.
+/// Maximum core-seconds lost for each core-second gained. At a ratio of 1, preemption cost all job
+/// classes together more than it gained for the preempting class.
 const MAX_LOSS_RATIO: f64 = 0.25;
-/// For a class that is to start at once, by its objective.
+/// Maximum core-seconds lost for each core-second gained if the job must start immediately.
 const MAX_LOSS_RATIO_IMMEDIATE: f64 = 0.7;
 
-/// The time within which a job should start, if that is sooner than room gets free
-/// by itself or a machine boots.
+/// Returns the start latency objective of a job that must start immediately: capacity that becomes
+/// free by itself or a newly booted machine would come too late. `None`: the job has no objective,
+/// or a longer one.
 pub(super) fn starts_immediately(job: &Job) -> Option<Micros> {
     job.start_latency_objective
         .filter(|within| *within <= IMMEDIATE_START)
 }
 
-/// What could be stopped on one machine.
+/// The attempts that could be stopped on one machine for a job.
 pub(super) struct MachinePlan<'a> {
     pub(super) machine: &'a MachineId,
     pub(super) victims: Vec<Victim>,
-    /// Tasks that the freed room is enough for.
+    /// Number of tasks that fit into the freed capacity.
     pub(super) count: u32,
-    /// Core-seconds lost for each core-second won.
-    pub(super) price: f64,
+    /// Core-seconds lost for each core-second gained.
+    pub(super) loss_ratio: f64,
 }
 
 /// An attempt that may be stopped.
@@ -57,60 +62,63 @@
     cost: PreemptionCost,
 }
 
-/// What stopping an attempt costs.
+/// The cost of stopping an attempt.
 struct PreemptionCost {
-    /// In core-seconds.
-    lost: f64,
-    /// The time that it needs to save, in seconds.
+    /// Work that is lost, in core-seconds.
+    lost_core_s: f64,
+    /// Time that the attempt gets for writing a checkpoint, in seconds.
     grace_period_s: f64,
 }
 
-/// The search for what to stop for a job.
+/// A search for attempts to stop for a job.
 pub(super) struct VictimSearch<'s, 'a> {
     pub(super) snapshot: &'s SchedulingSnapshot<'a>,
     pub(super) usage: &'s UsageByTeam,
-    /// Attempts that were chosen for others.
+    /// Attempts that were chosen earlier and can't be chosen again.
     pub(super) chosen: &'s BTreeSet<AttemptKey>,
     pub(super) job: &'s Job,
-    /// Tasks of the job that still need room.
+    /// Number of tasks of the job that still need capacity.
     pub(super) pending: u32,
-    /// One more task of the job is within its team's guarantee.
+    /// Whether one more task of the job is within its team's guarantee.
     pub(super) is_guaranteed: bool,
 }
 
 impl VictimSearch<'_, '_> {
-    /// The cheapest attempts on a machine that make room for a task; none if that costs too
-    /// much, or there are none.
+    /// Returns the attempts on a machine to stop so that at least one task of the job fits, those
+    /// that lose the least work first. `None`: no attempt may be stopped, no
+    /// task would fit, or too much work would be lost. `free` is the machine's free capacity before
+    /// any attempt is stopped.
     pub(super) fn on_machine<'m>(
         &self,
         id: &'m MachineId,
-        room: Resources,
+        free: Resources,
     ) -> Option<MachinePlan<'m>> {
         let request = self.job.desc.request();
-        let (mut room, mut lost, mut victims) = (room, 0.0, Vec::new());
+        let (mut free, mut lost_core_s, mut victims) = (free, 0.0, Vec::new());
         for candidate in self.candidates(id)? {
-            room += candidate.attempt.request();
-            lost += candidate.cost.lost;
+            free += candidate.attempt.request();
+            lost_core_s += candidate.cost.lost_core_s;
             victims.push(Victim {
                 key: candidate.key.clone(),
                 grace_period_s: candidate.cost.grace_period_s,
             });
-            if request.fits_in(&room) {
+            if request.fits_in(&free) {
                 break;
             }
         }
-        let count = request.times_in(&room).min(self.pending);
-        let won = self.value_of(count);
-        let is_worth_it = lost <= won * self.max_loss_ratio();
-        (!victims.is_empty() && count > 0 && is_worth_it).then(|| MachinePlan {
+        let count = request.times_in(&free).min(self.pending);
+        let gained_core_s = self.core_seconds_of(count);
+        let is_loss_acceptable = lost_core_s <= gained_core_s * self.max_loss_ratio();
+        (!victims.is_empty() && count > 0 && is_loss_acceptable).then(|| MachinePlan {
             machine: id,
             victims,
             count,
-            price: lost / won,
+            loss_ratio: lost_core_s / gained_core_s,
         })
     }
 
-    /// What may be stopped on a machine, the cheapest first.
+    /// Returns the attempts on a machine that may be stopped, those that lose the least work first.
+    /// `None`: the machine is unknown.
     fn candidates(&self, id: &MachineId) -> Option<Vec<Candidate<'_>>> {
         let machine = self.snapshot.machines.get(id)?;
         let mut candidates: Vec<Candidate<'_>> = machine
@@ -122,16 +130,17 @@
                 Some(Candidate { key, attempt, cost })
             })
             .collect();
-        candidates.sort_by(|left, right| left.cost.lost.total_cmp(&right.cost.lost));
+        candidates.sort_by(|left, right| left.cost.lost_core_s.total_cmp(&right.cost.lost_core_s));
         Some(candidates)
     }
 
-    /// Core-seconds that so many tasks of the job are worth.
-    fn value_of(&self, tasks: u32) -> f64 {
+    /// Returns the core-seconds that this number of the job's tasks take, as their owner estimates.
+    fn core_seconds_of(&self, tasks: u32) -> f64 {
         let desc = &self.job.desc;
         f64::from(tasks) * desc.cores.max(MIN_CORES) * desc.estimated_run_time_s.max(MIN_RUN_TIME_S)
     }
 
+    /// Returns the maximum core-seconds lost for each core-second gained for this job.
     fn max_loss_ratio(&self) -> f64 {
         if starts_immediately(self.job).is_some() {
             MAX_LOSS_RATIO_IMMEDIATE
@@ -140,17 +149,18 @@
         }
     }
 
-    /// Whether an attempt may be stopped for the job: its own job has slack, and it is of a
-    /// lower priority or above its team's guarantee.
+    /// Whether an attempt may be stopped for the job. The attempt's own job must have slack. In
+    /// addition it must have a lower priority, or the attempt's team must be above its guarantee
+    /// while the job's team is within its own.
     fn may_stop(&self, attempt: &Attempt) -> bool {
         let Some(desc) = &attempt.desc else {
             return false;
         };
-        let ran = attempt
+        let run_time = attempt
             .running_since
             .map_or(Micros::ZERO, |since| self.snapshot.now.since(since));
         let victim = self.snapshot.jobs.get(&desc.id);
-        if victim.is_some_and(|victim| !self.has_slack(victim, ran)) {
+        if victim.is_some_and(|victim| !self.has_slack(victim, run_time)) {
             return false;
         }
         if victim.map_or(desc.priority, Job::effective_priority) < self.job.effective_priority() {
@@ -159,30 +169,35 @@
         self.is_guaranteed && self.is_above_guarantee(attempt)
     }
 
-    /// Whether a job can stand that a task of it is stopped.
-    fn has_slack(&self, victim: &Job, ran: Micros) -> bool {
-        let left = victim.slack_us(self.snapshot.wall_clock) + ran.0 as i64;
-        // One that waits for room itself gets it back late, and would be stopped again and
-        // again: stopping helps where room is short for a moment, not all the time.
+    /// Whether an attempt's job has enough slack for the attempt to be stopped. The attempt's run
+    /// time so far is added to the job's slack, which is computed for a task that starts now.
+    fn has_slack(&self, victim: &Job, run_time: Micros) -> bool {
+        let slack_us = victim.slack_us(self.snapshot.wall_clock) + run_time.0 as i64;
+        // A job that has waiting tasks itself gets the capacity back late, and its tasks would be
+        // stopped again and again. Preemption helps against a brief shortage of capacity, not
+        // against a permanent one.
         let factor = match (starts_immediately(self.job), victim.waiting().is_empty()) {
             (None, _) => 1,
             (Some(_), true) => IMMEDIATE_SLACK_FACTOR,
             (Some(_), false) => IMMEDIATE_SLACK_FACTOR_WAITING,
         };
-        left > factor * MIN_SLACK_US
+        slack_us > factor * MIN_VICTIM_SLACK_US
     }
 
-    /// Work that another team runs above its own guarantee.
+    /// Whether an attempt belongs to another team that uses its guaranteed cores even without the
+    /// attempt.
     fn is_above_guarantee(&self, attempt: &Attempt) -> bool {
-        let of_other = attempt.demand.filter(|demand| demand.team != self.job.team);
-        of_other.is_some_and(|demand| {
+        let other_teams_demand = attempt.demand.filter(|demand| demand.team != self.job.team);
+        other_teams_demand.is_some_and(|demand| {
             let guarantee = self.snapshot.settings.platform.teams[demand.team].guarantee();
             (self.usage.of(demand.team).used - demand.request).cores >= guarantee.cores
         })
     }
 }
 
-/// What stopping an attempt costs; none: it is left alone.
+/// Returns the cost of stopping an attempt. `None`: it must not be stopped, since its job is
+/// unknown, it is being stopped already, it was abandoned, it is neither running nor fetching its
+/// image, or it is nearly done.
 fn preemption_cost(attempt: &Attempt, now: Micros) -> Option<PreemptionCost> {
     let desc = attempt.desc.as_ref()?;
     if attempt.is_stopping()
@@ -191,24 +206,26 @@
     {
         return None;
     }
-    let ran = attempt
+    let ran_s = attempt
         .running_since
         .map_or(0.0, |since| now.since(since).as_secs());
-    if attempt.running_since.is_some() && is_nearly_done(desc, ran) {
+    if attempt.running_since.is_some() && is_nearly_done(desc, ran_s) {
         return None;
     }
-    let (lost, grace_period_s) = if desc.checkpoint_interval_s > 0.0 {
-        let lost = desc.checkpoint_duration_s.min(ran);
-        (lost, desc.checkpoint_duration_s + CHECKPOINT_MARGIN_S)
+    let (lost_s, grace_period_s) = if desc.checkpoint_interval_s > 0.0 {
+        let lost_s = desc.checkpoint_duration_s.min(ran_s);
+        (lost_s, desc.checkpoint_duration_s + CHECKPOINT_MARGIN_S)
     } else {
-        (ran, 0.0)
+        (ran_s, 0.0)
     };
     Some(PreemptionCost {
-        lost: (lost + RESTART_S) * desc.cores.max(MIN_CORES),
+        lost_core_s: (lost_s + RESTART_OVERHEAD_S) * desc.cores.max(MIN_CORES),
         grace_period_s,
     })
 }
 
-fn is_nearly_done(desc: &JobDesc, ran: f64) -> bool {
-    desc.estimated_run_time_s - ran < NEARLY_DONE_S + desc.checkpoint_duration_s
+/// Whether an attempt that has run for this time in seconds ends so soon that stopping it gains
+/// nothing.
+fn is_nearly_done(desc: &JobDesc, ran_s: f64) -> bool {
+    desc.estimated_run_time_s - ran_s < NEARLY_DONE_S + desc.checkpoint_duration_s
 }
--- a/src/placement/queue.rs
+++ b/src/placement/queue.rs
@@ -1,4 +1,5 @@
-//! The order of waiting jobs inside each team.
+//! Queues of waiting jobs, one for each team. A queue is sorted with the most urgent job last,
+//! where a pass takes jobs from.
 
 use super::{SchedulingSnapshot, is_launchable, is_starved};
 use crate::fairness::Resources;
@@ -8,21 +9,24 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// A job in a team's queue, with what mostly suffices to see that it fits nowhere.
+/// A job in a team's queue, with the values that usually suffice to find that it fits on no
+/// machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueuedJob {
-    /// The job.
+    /// Id of the job.
     pub(super) id: JobId,
-    /// What a task of it takes.
+    /// Resources that each of its tasks requests.
     pub(super) request: Resources,
-    /// It has waited too long.
+    /// Whether the job is starved (see [`is_starved`]).
     pub(super) is_starved: bool,
 }
 
-/// Waiting jobs of each team; the next one is the last.
+/// Queue of each team, by the team's index. The last job of a queue is served first.
 pub type Queues = BTreeMap<usize, Vec<QueuedJob>>;
 
-/// Inside a team: those that starve, then priority, then slack, then age.
+/// Builds the queue of each team that has a launchable job. Starved jobs come first; all others
+/// are ordered by priority, then urgency (deadline slack, start latency objective or remaining
+/// work), then age.
 pub fn build_queues(snapshot: &SchedulingSnapshot<'_>) -> Queues {
     let mut jobs_by_team: BTreeMap<usize, Vec<(&JobId, &Job)>> = BTreeMap::new();
     for (id, job) in snapshot.jobs {
@@ -46,6 +50,7 @@
         .zone_evacuation
         .is_some_and(ZoneEvacuation::has_displaced)
     {
+        // The evacuation order works on jobs with the most urgent one first.
         jobs.reverse();
         jobs = snapshot.in_evacuation_order(jobs, |(_, job)| job);
         jobs.reverse();
--- a/src/placement/recovery.rs
+++ b/src/placement/recovery.rs
@@ -1,37 +1,41 @@
-//! A failover that is not complete: machines that have sent no heartbeat since.
+//! State of an incomplete failover: the kinds of machines that have sent no heartbeat to the
+//! new owner of the partition and may still run attempts of an earlier owner.
 
 use crate::fairness::Resources;
 use crate::ids::{Revision, Term};
 use crate::jobs::Job;
 
-/// Machines that are alike and have sent no heartbeat since a failover.
+/// A kind of machine (type, zone, spot or not, and capacity) of which at least one machine has
+/// sent no heartbeat since a failover.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SilentMachines {
-    /// Their type.
+    /// Machine type.
     pub machine_type: String,
-    /// Their zone.
+    /// Zone of the machines.
     pub zone: String,
-    /// Whether the cloud may take them back.
+    /// Whether they are spot instances, which the cloud may reclaim.
     pub spot: bool,
-    /// Of each of them; none: it is not known.
+    /// Capacity of each machine; `None`: unknown.
     pub capacity: Option<Resources>,
 }
 
 /// A failover that is not complete yet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FailoverRecovery {
-    /// The term of the grant.
+    /// Term under which the partition was granted to its new owner.
     pub term: Term,
-    /// The store's revision at which it was granted.
+    /// Store revision at which the partition was granted to its new owner.
     pub granted: Revision,
-    /// The machines that have sent no heartbeat since and may run anything, each kind once.
+    /// Kinds of machines that have sent no heartbeat since the grant and may run attempts of any
+    /// earlier job. Each kind is listed once.
     pub silent: Vec<SilentMachines>,
 }
 
 impl FailoverRecovery {
-    /// Whether an attempt of a job may be on a machine that is still silent. One that no
-    /// earlier owner can have begun has no old attempts; another only where it fits.
-    pub(super) fn may_hold(&self, job: &Job) -> bool {
+    /// Whether an attempt of a job may be on a machine that has sent no heartbeat yet. A job that
+    /// no earlier owner can have started has no such attempt. Any other job can have one only on
+    /// a kind of machine that the job allows and that has enough capacity.
+    pub(super) fn may_have_attempt_of(&self, job: &Job) -> bool {
         job.may_have_begun_before(self.term, self.granted)
             && self.silent.iter().any(|machines| {
                 job.may_have_been_on(&machines.machine_type, &machines.zone, machines.spot)
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -1,4 +1,5 @@
-//! What decisions about placement may depend on.
+//! The input of placement decisions: one read-only view of a partition's state, so that all
+//! decisions of a pass are based on the same moment.
 
 use super::{ConstrainedDemand, FailoverRecovery};
 use crate::clock::Micros;
@@ -10,45 +11,48 @@
 use crate::zones::ZoneEvacuation;
 use std::collections::BTreeMap;
 
-/// All that decisions about placement may depend on, at one moment.
+/// State of a partition at one moment, on which placement decisions are based.
 pub struct SchedulingSnapshot<'a> {
-    /// The platform's settings.
+    /// Settings of the platform and of this controller.
     pub settings: &'a Settings,
-    /// All machines of all partitions.
+    /// Total capacity of all machines of all partitions.
     pub fleet: Resources,
-    /// The steady clock.
+    /// Time of the monotonic clock.
     pub now: Micros,
-    /// The time of day.
+    /// Wall-clock time.
     pub wall_clock: Micros,
-    /// The partition's jobs.
+    /// Live jobs of the partition.
     pub jobs: &'a BTreeMap<JobId, Job>,
-    /// The partition's machines.
+    /// Machines of the partition.
     pub machines: &'a BTreeMap<MachineId, Machine>,
-    /// The partition's teams.
+    /// Teams of the partition, as indexes into the teams of the settings.
     pub teams: &'a [usize],
-    /// The teams' usage.
+    /// Resources that each team uses on the partition's machines.
     pub usage: &'a UsageByTeam,
-    /// A failover that is not complete yet.
+    /// The failover that is still incomplete; `None`: there is none.
     pub recovery: Option<&'a FailoverRecovery>,
-    /// A machine without a heartbeat for longer gets no new work.
+    /// Time since its last heartbeat after which a machine gets no new tasks.
     pub heartbeat_timeout: Micros,
-    /// Waiting classes with little choice of machines.
+    /// Waiting jobs that fit only some of the machine types.
     pub constrained: &'a ConstrainedDemand,
-    /// By team, what its jobs that fail again and again would hold.
+    /// Resources that the failed tasks of failing jobs request, each with the index of its team.
+    /// A team has one entry for each failing job.
     pub failing: Vec<(usize, Resources)>,
-    /// The evacuation of lost zones; none: zone failover is off.
+    /// State of the evacuation of lost zones; `None`: zone failover is off.
     pub zone_evacuation: Option<&'a ZoneEvacuation>,
 }
 
 impl SchedulingSnapshot<'_> {
-    /// Whether new work of a job stays out of a zone.
-    pub(super) fn is_closed(&self, job: &Job, zone: &str) -> bool {
+    /// Whether no new tasks of a job may be placed in a zone, since the zone is lost or on
+    /// probation.
+    pub(super) fn is_zone_closed_to(&self, job: &Job, zone: &str) -> bool {
         self.zone_evacuation
             .is_some_and(|evacuation| evacuation.closed_to(job, zone, self.wall_clock))
     }
 
-    /// Puts work that lost its zone into its stated order, among jobs that come with the
-    /// most urgent first.
+    /// Reorders the jobs displaced from lost zones by their evacuation priority. `jobs` must be
+    /// sorted with the most urgent job first, and so is the result. Without zone failover the
+    /// order does not change.
     pub(super) fn in_evacuation_order<'a, T>(
         &self,
         jobs: Vec<T>,
@@ -60,15 +64,16 @@
         }
     }
 
-    /// A team's heaviness, with what its failing tasks would hold.
+    /// Returns a team's heaviness, in which its failing tasks count as if they were running.
     pub(super) fn heaviness(&self, usage: &UsageByTeam, team: usize) -> f64 {
         let guarantee = self.settings.platform.teams[team].guarantee();
-        // Guards against a broken team that stays lightest (the design's watch item): its
-        // failing tasks are endowed with nothing, and so count the room as held.
+        // Tasks that fail at once use no resources, so a team whose tasks all fail would keep
+        // the lowest heaviness and always be served first. The resources that its failing tasks
+        // request are therefore added to its heaviness.
         let failing = self.failing.iter().filter(|(other, _)| *other == team);
-        let held: f64 = failing
-            .map(|(_, held)| static_heaviness(*held, self.fleet))
+        let failing_heaviness: f64 = failing
+            .map(|(_, request)| static_heaviness(*request, self.fleet))
             .sum();
-        usage.heaviness(team, guarantee, self.settings.guarantees(), self.fleet) + held
+        usage.heaviness(team, guarantee, self.settings.guarantees(), self.fleet) + failing_heaviness
     }
 }
--- a/src/placement/zone_constraints.rs
+++ b/src/placement/zone_constraints.rs
@@ -1,14 +1,15 @@
-//! Jobs whose tasks belong into one zone, or must not all be in one.
+//! Zone constraints of jobs: a single-zone job runs all of its tasks in one zone, and a job
+//! with anti-affinity at most half of them, rounded up, in any one zone.
 
 use crate::ids::MachineId;
 use crate::jobs::{Job, JobDesc};
 use crate::workers::{AttemptPhase, Machine};
 use std::collections::BTreeMap;
 
-/// How many tasks of a job are, or may be, in each zone.
+/// Number of attempts of a job that are, or may still be, on machines of each zone.
 pub(super) type TasksByZone<'a> = BTreeMap<&'a str, u32>;
 
-/// Counts a job's tasks by zone; nothing for a job without such a constraint.
+/// Counts a job's attempts by zone. The result is empty for a job without a zone constraint.
 pub(super) fn tasks_by_zone<'a>(
     job: &Job,
     machines: &'a BTreeMap<MachineId, Machine>,
@@ -18,7 +19,8 @@
         return by_zone;
     }
     for machine in machines.values() {
-        // Attempts, not only known tasks: one being stopped is still there.
+        // Counts attempts, not the job's active tasks: an attempt that is being stopped is still
+        // in its zone.
         let attempts = machine.attempts.iter().filter(|(key, attempt)| {
             key.task.job == job.desc.id && attempt.phase != AttemptPhase::Exited
         });
@@ -30,7 +32,7 @@
     by_zone
 }
 
-/// Whether one more task of a job may go to a zone.
+/// Whether the job's zone constraint allows one more task in a zone.
 pub(super) fn is_zone_allowed(desc: &JobDesc, by_zone: &TasksByZone<'_>, zone: &str) -> bool {
     let is_elsewhere = |(other, count): (&&str, &u32)| **other != *zone && *count > 0;
     if desc.single_zone && by_zone.iter().any(is_elsewhere) {
