--- a/src/leader/election.rs
+++ b/src/leader/election.rs
@@ -1,36 +1,39 @@
-//! Leader election: who may campaign, after how long without a leader, and the proof of
-//! leadership that every write of the leader carries.
+//! Leader election: which member may campaign, how long it waits while there is no leader, and
+//! the compare that proves leadership in every write of the leader.
 //!
 //! The key-value store decides an election, by a compare-and-swap on the leader's key. The
-//! delays here only make it rare that two controllers campaign at once; nothing must rely
-//! on them for safety.
+//! delays here only make it rare that two controllers campaign at once. Safety must not depend
+//! on them.
 
 use crate::clock::Micros;
 use crate::ids::{Label, Revision};
 use crate::store::{Compare, Versioned, keys};
 use crate::watch_cache::WatchCache;
 
-/// Each member campaigns so much later than the one before it in the order of labels.
+/// Difference between the campaign delays of two members that are adjacent in label order.
 const CAMPAIGN_STAGGER: Micros = Micros::from_millis(150);
-/// The further delay of an isolated owner of a partition.
+/// Additional campaign delay of a member in the state [`CandidateState::IsolatedOwner`].
 const ISOLATED_OWNER_DELAY: Micros = Micros::from_millis(3_000);
-/// The further delay of any other isolated member.
+/// Additional campaign delay of a member in the state [`CandidateState::Isolated`].
 const ISOLATED_DELAY: Micros = Micros::from_millis(4_000);
 
-/// How well a member that could campaign is connected.
+/// Connectivity of a member that may campaign for leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CandidateState {
-    /// It receives another member's messages.
+    /// The member receives messages from at least one other member, or is the only member.
     Connected,
-    /// It receives no other member's messages, but owns a partition.
+    /// The member receives no messages from other members, but owns a partition.
     IsolatedOwner,
-    /// It receives no other member's messages, or lately no heartbeat of its machines.
+    /// The member receives no heartbeats from the machines of a partition, or it receives no
+    /// messages from other members and owns no partition.
     Isolated,
 }
 
 impl CandidateState {
-    /// An isolated member may be the one behind the cut, so it lets the others campaign
-    /// first. But if all are isolated, only an owner knows what its partition lacks.
+    /// Returns the additional time for which the member waits before it campaigns. An isolated
+    /// member may itself be cut off from the network, so it lets the others campaign first. If
+    /// all members are isolated, an owner campaigns before the others: only an owner knows which
+    /// capacity its partition lacks.
     fn delay(self) -> Micros {
         match self {
             CandidateState::Connected => Micros::ZERO,
@@ -40,9 +43,9 @@
     }
 }
 
-/// Whether the member `label` may campaign for leadership at `now`, with no leader since
-/// `leaderless_since`. Members campaign in the order of their labels, so that two rarely
-/// campaign at once.
+/// Returns whether the member `label` may campaign for leadership at `now`. `leaderless_since`
+/// is the time since which the cache has shown no leader. Members campaign in the order of their
+/// labels, so two of them rarely campaign at once.
 pub fn may_campaign(
     cache: &WatchCache,
     label: &Label,
@@ -63,7 +66,8 @@
     now.since(leaderless_since) >= stagger + candidate_state.delay()
 }
 
-/// The compare that holds only while this incarnation is the leader; none if it is not.
+/// Returns the compare that holds only while this incarnation is the leader, or `None` if the
+/// cache shows that it is not the leader.
 pub fn leadership_compare(
     cache: &WatchCache,
     label: &Label,
--- a/src/leader/grants.rs
+++ b/src/leader/grants.rs
@@ -1,8 +1,9 @@
-//! Grants of partitions: one without a living owner goes whole to one member, under a new
-//! fencing term.
+//! Grants of partitions: a partition without a living owner is granted as a whole to one member,
+//! under a new fencing term.
 //!
-//! Owns which member is granted which partition. It must never grant a partition whose owner
-//! is alive, nor one to a member that is not: the grant compares the member's key.
+//! This module decides which member is granted which partition. It must never grant a partition
+//! whose owner is alive, nor grant one to a member that is not alive. For the latter, each grant
+//! compares the member's key.
 
 use super::terms::allocate_terms;
 use crate::ids::{Label, PartitionId, Term};
@@ -13,13 +14,16 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// At most so many partitions are granted in one transaction; the rest follow in the next.
-const MAX_GRANTS: usize = 8;
-/// Of a transaction's operations, those that are not for grants.
-const RESERVED_OPERATIONS: usize = 2;
+/// Maximum number of partitions granted in one transaction. Further partitions are granted in
+/// later transactions.
+const MAX_GRANTS_PER_TRANSACTION: usize = 8;
+/// Number of mutations per transaction that are not available for grants. One of them records
+/// the allocated terms.
+const RESERVED_MUTATIONS: usize = 2;
 
-/// The partition to which a team belongs: by the owners' records or, before there are any,
-/// by the team's index in the settings.
+/// Returns the partition to which a team belongs. `team` is the team's index in the settings.
+/// The owner records decide; if no record lists the team, its index modulo `partition_count`
+/// does.
 pub fn partition_of(
     cache: &WatchCache,
     settings: &Settings,
@@ -37,27 +41,28 @@
     )
 }
 
-/// How well a member suits as the next owner of a partition: the smallest is granted it.
-/// The fields are compared in their order.
+/// Rank of a member as the next owner of a partition. The fields are compared in their order,
+/// and the member with the smallest rank is granted the partition.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct OwnerPreference<'a> {
+struct OwnerRank<'a> {
     /// Eligible members come first: those that are connected to their peers and machines.
     is_ineligible: bool,
-    /// A member that handed the partition back did so for a reason, known to the leader or not.
-    handed_it_back: bool,
+    /// Members that did not hand the partition back come first. The member that did had a
+    /// reason, which the leader may not know.
+    handed_partition_back: bool,
     /// Members that own fewer partitions come first.
     owned_partitions: usize,
-    /// The newest version comes first. Guards against a partition that changes its owner
-    /// with each controller that is replaced in a rolling upgrade: members of the newest
-    /// version are not replaced again.
+    /// Members with the newest format level come first. Guards against a partition that changes
+    /// its owner with each controller that is replaced in a rolling upgrade: members of the
+    /// newest version are not replaced again.
     format: Reverse<Option<FormatLevel>>,
-    /// Leading is work too, so among equals another member than the leader.
+    /// Members other than the leader come first, because leadership is additional work.
     is_leader: bool,
-    /// The order of labels decides between equals, so that the choice is deterministic.
+    /// The order of labels decides between equals, which makes the choice deterministic.
     label: &'a Label,
 }
 
-/// The partitions without a living owner, and how many partitions each member owns.
+/// The partitions without a living owner, and the number of partitions that each member owns.
 struct Ownership<'a> {
     unowned: Vec<PartitionId>,
     owned_by_member: BTreeMap<&'a Label, usize>,
@@ -67,11 +72,11 @@
     fn read(cache: &'a WatchCache, partition_count: u64) -> Self {
         let configured = (0..partition_count).map(PartitionId);
         let recorded = cache.partition_owners.keys().copied();
-        let beyond = recorded.filter(|partition| partition.0 >= partition_count);
+        let unconfigured = recorded.filter(|partition| partition.0 >= partition_count);
         let mut owned_by_member: BTreeMap<&Label, usize> =
             cache.members.keys().map(|label| (label, 0)).collect();
         let mut unowned = Vec::new();
-        for partition in configured.chain(beyond) {
+        for partition in configured.chain(unconfigured) {
             match cache.partition_owners.get(&partition) {
                 Some(Versioned { record, .. }) if cache.is_owner_alive(record) => {
                     if let Some(owned) = owned_by_member.get_mut(&record.owner) {
@@ -88,9 +93,11 @@
     }
 }
 
-/// Grants the partitions that no living member owns, in one compare-and-swap: its compares
-/// and its mutations. None if there is nothing to grant, or nobody to grant it to.
-/// `leadership` is the leader's [`leadership_compare`](super::leadership_compare).
+/// Returns the compares and the mutations of one compare-and-swap that grants the partitions
+/// without a living owner, or `None` if there is no such partition or no member. `leadership` is
+/// the leader's [`leadership_compare`](super::leadership_compare). `is_eligible` returns whether
+/// a member is connected to its peers and machines; other members are granted a partition only
+/// if no member is eligible.
 pub fn grant_partitions(
     cache: &WatchCache,
     leadership: Compare,
@@ -102,8 +109,8 @@
         mut unowned,
         mut owned_by_member,
     } = Ownership::read(cache, partition_count);
-    let max_operations = settings.platform.state.lowest_txn_ops();
-    unowned.truncate((max_operations - RESERVED_OPERATIONS).min(MAX_GRANTS));
+    let max_mutations = settings.platform.state.lowest_txn_ops();
+    unowned.truncate((max_mutations - RESERVED_MUTATIONS).min(MAX_GRANTS_PER_TRANSACTION));
     if unowned.is_empty() || owned_by_member.is_empty() {
         return None;
     }
@@ -111,22 +118,21 @@
     let mut compares = vec![leadership, terms.compare];
     let mut mutations = vec![terms.mutation];
     for (term, partition) in (terms.first.0..).map(Term).zip(unowned) {
-        let (label, owned) =
-            owned_by_member
-                .iter_mut()
-                .min_by_key(|(label, owned)| OwnerPreference {
-                    is_ineligible: !is_eligible(label),
-                    handed_it_back: cache.handed_back_by(partition) == Some(**label),
-                    owned_partitions: **owned,
-                    format: Reverse(
-                        cache
-                            .members
-                            .get(**label)
-                            .map(|Versioned { record: member, .. }| member.format),
-                    ),
-                    is_leader: **label == &settings.label,
-                    label,
-                })?;
+        let (label, owned) = owned_by_member
+            .iter_mut()
+            .min_by_key(|(label, owned)| OwnerRank {
+                is_ineligible: !is_eligible(label),
+                handed_partition_back: cache.handed_back_by(partition) == Some(**label),
+                owned_partitions: **owned,
+                format: Reverse(
+                    cache
+                        .members
+                        .get(**label)
+                        .map(|Versioned { record: member, .. }| member.format),
+                ),
+                is_leader: **label == &settings.label,
+                label,
+            })?;
         *owned += 1;
         let incarnation = cache.members.get(*label)?.revision;
         let owner = PartitionOwnerRecord {
@@ -135,7 +141,8 @@
             term,
             teams: teams_of(cache, settings, partition_count, partition),
         };
-        // The member must still be alive, or the partition would go to a dead one.
+        // The grant has to fail if the member has expired since the cache was read. Otherwise
+        // the partition would be granted to a dead member.
         let member = Compare::new(keys::member(label), incarnation);
         if !compares.contains(&member) {
             compares.push(member);
@@ -147,7 +154,7 @@
     Some((compares, mutations))
 }
 
-/// The names of the teams whose jobs belong to a partition, in the settings' order.
+/// Returns the names of the teams whose jobs belong to a partition, in the order of the settings.
 fn teams_of(
     cache: &WatchCache,
     settings: &Settings,
--- a/src/leader/grants/tests.rs
+++ b/src/leader/grants/tests.rs
@@ -1,3 +1,6 @@
+//! Tests of partition grants: which partitions are granted, to which member, and under which
+//! compares.
+
 use super::*;
 use crate::ids::{LeaseId, Revision};
 use crate::leader::leadership_compare;
@@ -5,13 +8,14 @@
 use crate::settings::tests::settings;
 use crate::store::Versioned;
 
-/// Records the owner of the first partition.
+/// Records the owner of partition 0.
 fn record_owner(cache: &mut WatchCache, record: PartitionOwnerRecord) {
     let revision = Revision(8);
     let versioned = Versioned { revision, record };
     cache.partition_owners.insert(PartitionId(0), versioned);
 }
 
+/// A cache in which `c0` leads and these members (label and incarnation) are registered.
 fn cache(members: &[(&str, u64)]) -> WatchCache {
     let mut cache = WatchCache::default();
     cache.load(Vec::new());
@@ -65,6 +69,8 @@
         .collect()
 }
 
+/// Guards against partitions that share a term or a team, and against grants that are committed
+/// although the leader, the term record or the new owner has changed since the cache was read.
 #[test]
 fn every_partition_is_granted_to_a_living_member_under_its_own_new_term() {
     let cache = cache(&[("c0", 1), ("c1", 2)]);
@@ -87,10 +93,12 @@
     );
 }
 
+/// Guards against a partition that stays with the dead incarnation of a restarted controller, or
+/// that loses its teams when it is granted to another member.
 #[test]
 fn a_dead_owners_partition_is_granted_whole_to_a_survivor_and_keeps_its_teams() {
     let mut cache = cache(&[("c0", 1), ("c1", 20)]);
-    // c1 restarted as a new incarnation: its earlier grant is void.
+    // c1 has restarted as incarnation 20, so the grant to its incarnation 2 is no longer valid.
     let expired = PartitionOwnerRecord {
         owner: "c1".into(),
         incarnation: Revision(2),
@@ -112,6 +120,8 @@
     assert!(compares.contains(&Compare::new("r/blocks/0/holder".into(), Revision(8))));
 }
 
+/// Guards against two owners of one partition: a grant while the owner is alive, or a grant by a
+/// member that does not lead.
 #[test]
 fn only_the_leader_grants_and_a_living_owner_keeps_its_partition() {
     let mut cache = cache(&[("c0", 1)]);
@@ -134,6 +144,8 @@
     assert_eq!(try_grants(&cache, 1, &|_| true), None);
 }
 
+/// Guards against a partition that is granted again to the member that has just handed it back,
+/// for example because that member cannot reach the partition's machines.
 #[test]
 fn a_member_that_handed_a_partition_back_is_not_granted_it_while_there_are_others() {
     let mut cache = cache(&[("c0", 1), ("c1", 2)]);
@@ -144,7 +156,7 @@
         teams: vec!["red".into(), "blue".into()],
     };
     record_owner(&mut cache, handed_back);
-    // No member is eligible just now.
+    // No member is eligible in either case.
     let (_, mutations) = try_grants(&cache, 1, &|_| false).expect("grants");
     assert_eq!(granted_owners(&mutations)[0].1.owner.as_str(), "c0");
     cache.members.remove(&"c0".into());
@@ -152,13 +164,13 @@
     assert_eq!(
         granted_owners(&mutations)[0].1.owner.as_str(),
         "c1",
-        "better than nobody"
+        "the only member is granted the partition"
     );
 }
 
-/// Seen in a rolling upgrade: the partition of the controller that was replaced was granted
-/// to the one that was replaced next, and each time all of its machines had to send their
-/// heartbeats to a new owner.
+/// Guards against repeated changes of owner in a rolling upgrade: the partition of a replaced
+/// controller was granted to the controller that was replaced next. Each time, all machines of
+/// the partition had to send their heartbeats to a new owner.
 #[test]
 fn among_equals_a_partition_is_granted_to_the_member_with_the_newest_version() {
     let mut cache = cache(&[("c0", 1), ("c1", 2), ("c2", 3), ("c3", 4)]);
@@ -172,6 +184,10 @@
         granted_owners(&mutations)[0].1.owner.clone()
     };
     assert_eq!(owner(&|_| true), "c2".into());
-    let only_old = |label: &Label| label.as_str() == "c1" || label.as_str() == "c3";
-    assert_eq!(owner(&only_old), "c1".into(), "eligible members come first");
+    let is_old_version = |label: &Label| label.as_str() == "c1" || label.as_str() == "c3";
+    assert_eq!(
+        owner(&is_old_version),
+        "c1".into(),
+        "eligible members come first"
+    );
 }
--- a/src/leader/mod.rs
+++ b/src/leader/mod.rs
@@ -1,9 +1,9 @@
-//! The leader: who may campaign for leadership, and what only the leader writes: grants of
-//! partitions and the allocation of fencing terms.
+//! The leader's decisions: when a member may campaign for leadership, and the writes that only
+//! the leader makes, which are grants of partitions and allocations of fencing terms.
 //!
-//! Everything here is computed from the watch cache and returned as a compare-and-swap; the
-//! controller sends it. A write of the leader must never go out without the compare of
-//! [`leadership_compare`]: without it, a former leader could still write.
+//! The functions here compute compares and mutations from the watch cache; the controller sends
+//! them. Every write of the leader must include the compare of [`leadership_compare`]. Without
+//! that compare, a former leader could still write.
 
 mod election;
 mod grants;
--- a/src/leader/terms.rs
+++ b/src/leader/terms.rs
@@ -1,25 +1,26 @@
 //! Allocation of fencing terms.
 //!
-//! Owns how the next terms are taken from the term's record. A term must never be allocated
-//! twice: every allocation compares the record's revision.
+//! This module computes the next terms from the term record. A term must never be allocated
+//! twice, so every allocation compares the record's revision.
 
 use crate::ids::Term;
 use crate::partitions::TermRecord;
 use crate::store::{Compare, Mutation, Versioned, keys};
 use crate::watch_cache::WatchCache;
 
-/// The next terms, and the compare-and-swap under which they are allocated.
+/// A range of new terms, with the compare and the mutation that allocate it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TermAllocation {
-    /// The first of the allocated terms; the others follow it.
+    /// First term of the range. The other terms follow it consecutively.
     pub first: Term,
-    /// Nobody has allocated a term since.
+    /// Compare that holds only if no term has been allocated since the record was read.
     pub compare: Compare,
-    /// Records the last of the allocated terms.
+    /// Mutation that records the last term of the range as allocated.
     pub mutation: Mutation,
 }
 
-/// Allocates the next `count` terms.
+/// Returns an allocation of the next `count` terms. The terms are allocated only if its compare
+/// and its mutation are committed.
 pub fn allocate_terms(cache: &WatchCache, count: u64) -> TermAllocation {
     let Versioned { revision, record } = cache.term;
     let allocated = TermRecord {
--- a/src/partitions/lease.rs
+++ b/src/partitions/lease.rs
@@ -1,18 +1,20 @@
-//! A lease of the key-value store that is kept alive while it is wanted.
+//! Client side of a lease in the key-value store: requests for its grant and its renewals.
 //!
-//! Owns when to grant and when to renew. It must never count a lease as valid beyond what
-//! the store can have agreed to: validity runs from when a request was sent.
+//! This module decides when to request a grant or a renewal. It must never treat a lease as valid
+//! for longer than the store may keep it: validity counts from when the request was sent, because
+//! the store may start the time to live at any moment after that.
 
 use super::request_pacing::{RETRY_INTERVAL, RequestPacing};
 use crate::clock::Micros;
 use crate::ids::LeaseId;
 use crate::store::{Reply, Request};
 
-/// A lease is renewed so many times within its time to live.
+/// Number of renewals within the lease's time to live.
 const RENEWALS_PER_TTL: u64 = 4;
 
-/// The leader's own lease. It is shorter than a member's: losing it stops only grants and
-/// scaling, so another controller may lead soon after this one is isolated.
+/// The lease of the leader's key. Its time to live may be shorter than that of a member lease:
+/// losing it stops only grants and scaling, so another controller may become the leader soon
+/// after this one is isolated.
 #[derive(Debug)]
 pub struct Lease {
     ttl: Micros,
@@ -22,7 +24,7 @@
 }
 
 impl Lease {
-    /// A lease with this time to live, not granted yet.
+    /// Creates a lease that has not been granted yet. `ttl` is its time to live.
     pub fn new(ttl: Micros) -> Self {
         Lease {
             ttl,
@@ -32,7 +34,8 @@
         }
     }
 
-    /// The request that keeps the lease alive, if one is due at `now`. The caller sends it.
+    /// Returns the request that grants or renews the lease, if one is due at `now`. The caller
+    /// must send it.
     pub fn next_request(&mut self, now: Micros) -> Option<Request> {
         if !self.pacing.begin(now) {
             return None;
@@ -65,8 +68,8 @@
         }
     }
 
-    /// The lease, while it is certain not to have expired: for three quarters of its time
-    /// to live after the last renewal was sent.
+    /// Returns the lease while it cannot have expired, or `None`. That is three quarters of its
+    /// time to live, counted from when the last successful grant or renewal was sent.
     pub fn valid_lease_id(&self, now: Micros) -> Option<LeaseId> {
         let validity = Micros(self.ttl.0 * 3 / 4);
         self.lease_id
--- a/src/partitions/lease/tests.rs
+++ b/src/partitions/lease/tests.rs
@@ -1,5 +1,10 @@
+//! Tests of the leader's lease.
+
 use super::*;
 
+/// Guards against a lease that is used after it may have expired in the store, and against
+/// renewals of a lease that the store reports as expired. Its validity of 4.5 s (three quarters
+/// of 6 s) counts from when the grant was requested, and an expired lease is replaced by a new one.
 #[test]
 fn an_expired_lease_is_granted_anew() {
     let mut lease = Lease::new(Micros::from_secs(6.0));
--- a/src/partitions/membership.rs
+++ b/src/partitions/membership.rs
@@ -1,8 +1,10 @@
-//! This controller's own membership: its lease, its member key, and until when it may act.
+//! This controller's own membership: its lease, its member key, and the time until which the
+//! controller may act.
 //!
-//! Owns the steps from no membership to a registered one, and back after the lease expired.
-//! It must never extend the right to act beyond what the store can have agreed to: validity
-//! runs from when a request was sent, not from when its reply came.
+//! This module owns the steps from no membership to a registered one, and the return to the first
+//! step after the lease has expired. It must never let the controller act for longer than the
+//! store may keep the lease: validity counts from when a request was sent, not from when its
+//! reply was received.
 
 use super::request_pacing::{RETRY_INTERVAL, RequestPacing};
 use super::{FormatLevel, MemberRecord};
@@ -10,24 +12,24 @@
 use crate::ids::{Label, LeaseId, Revision};
 use crate::store::{Compare, KeyValue, Mutation, Reply, Request, keys};
 
-/// A member renews its lease so many times within the lease's time to live.
+/// Number of renewals within the member lease's time to live.
 const RENEWALS_PER_TTL: u64 = 6;
 
-/// How far the registration of this incarnation is.
+/// Progress of this incarnation's registration as a member.
 #[derive(Debug, Clone, PartialEq)]
 enum Registration {
-    /// Reading the member key that an earlier incarnation may have left.
+    /// The controller reads the member key that an earlier incarnation may have left.
     ReadingPredecessor,
-    /// Revoking the lease of an earlier incarnation.
+    /// The controller revokes the lease of an earlier incarnation.
     RevokingPredecessor(LeaseId),
-    /// Being granted a lease.
+    /// The controller requests a lease.
     GrantingLease,
-    /// Writing the member key under the granted lease.
+    /// The controller writes its member key, attached to the granted lease.
     Registering {
         lease_id: LeaseId,
         granted_at: Micros,
     },
-    /// A member.
+    /// The controller is a member.
     Registered {
         lease_id: LeaseId,
         incarnation: Revision,
@@ -35,7 +37,7 @@
     },
 }
 
-/// This controller's membership.
+/// Membership of this controller, from its registration to the expiry of its lease.
 #[derive(Debug)]
 pub struct Membership {
     label: Label,
@@ -47,8 +49,9 @@
 }
 
 impl Membership {
-    /// Not a member yet. `ttl` is the time to live of the member lease, `lease_validity` how
-    /// long the controller may act after a renewal or a read of the changes was sent.
+    /// Creates the membership of a controller that has not registered yet. `ttl` is the time to
+    /// live of the member lease. `lease_validity` is how long the controller may act after it sent
+    /// a renewal or a read of the store's changes.
     pub fn new(label: Label, addr: String, ttl: Micros, lease_validity: Micros) -> Self {
         Membership {
             label,
@@ -60,7 +63,7 @@
         }
     }
 
-    /// The next request to the store, if one is due at `now`. The caller sends it.
+    /// Returns the next request to the store, if one is due at `now`. The caller must send it.
     pub fn next_request(&mut self, now: Micros) -> Option<Request> {
         if !self.pacing.begin(now) {
             return None;
@@ -92,7 +95,7 @@
     /// Handles the store's reply to the request in flight.
     pub fn handle_reply(&mut self, now: Micros, reply: &Reply) {
         let sent_at = self.pacing.finish(now);
-        match self.registration.after(reply, sent_at) {
+        match self.registration.after_reply(reply, sent_at) {
             Some(registration) => {
                 let is_renewed = matches!(
                     (&self.registration, reply),
@@ -110,7 +113,8 @@
         }
     }
 
-    /// The revision that names this incarnation, while it is a member.
+    /// Returns the revision that identifies this incarnation, or `None` while the controller is
+    /// not a member.
     pub fn incarnation(&self) -> Option<Revision> {
         match self.registration {
             Registration::Registered { incarnation, .. } => Some(incarnation),
@@ -118,7 +122,8 @@
         }
     }
 
-    /// The lease to which the member key is attached, while it is a member.
+    /// Returns the lease to which the member key is attached, or `None` while the controller is
+    /// not a member.
     pub fn lease_id(&self) -> Option<LeaseId> {
         match self.registration {
             Registration::Registered { lease_id, .. } => Some(lease_id),
@@ -126,9 +131,10 @@
         }
     }
 
-    /// Until when this controller may act for its partitions. `last_read_at` is when the
-    /// newest read of the changes was sent: a controller that renews its lease but does not
-    /// receive cancellations must stop as well.
+    /// Returns the time until which this controller may act for its partitions, zero while it is
+    /// not a member. `last_read_at` is when the last read of the store's changes was sent. It
+    /// counts as well as the last renewal: a controller that renews its lease but does not receive
+    /// cancellations must stop acting, too.
     pub fn may_act_until(&self, last_read_at: Micros) -> Micros {
         match self.registration {
             Registration::Registered { renewed_at, .. } => {
@@ -140,21 +146,22 @@
 }
 
 impl Registration {
-    /// The state after the reply to a request sent at `sent_at`; none if the request has to
-    /// be retried.
-    fn after(&self, reply: &Reply, sent_at: Micros) -> Option<Registration> {
+    /// Returns the state after the reply to a request that was sent at `sent_at`, or `None` if the
+    /// request has to be retried.
+    fn after_reply(&self, reply: &Reply, sent_at: Micros) -> Option<Registration> {
         match (self, reply) {
             (Registration::ReadingPredecessor, Reply::NotFound) => {
                 Some(Registration::GrantingLease)
             }
-            (Registration::ReadingPredecessor, Reply::Value(row)) => {
-                Some(Registration::after_predecessor(row))
+            (Registration::ReadingPredecessor, Reply::Value(entry)) => {
+                Some(Registration::after_predecessor(entry))
             }
             (
                 Registration::RevokingPredecessor(_),
                 Reply::Acknowledged | Reply::LeaseExpired,
             )
-            // The registration is indeterminate, or the key is our own late write: start anew.
+            // The outcome of the registration is unknown, or an earlier attempt of this process
+            // has written the key late: start again with reading the key.
             | (
                 Registration::Registering { .. },
                 Reply::Indeterminate | Reply::Conflict(_) | Reply::LeaseExpired,
@@ -179,7 +186,8 @@
                 incarnation: *revision,
                 renewed_at: *granted_at,
             }),
-            // From when the renewal was sent: the store may count the lease from then on.
+            // Validity counts from when the renewal was sent: the store may count the time to
+            // live from that moment on.
             (
                 Registration::Registered {
                     lease_id,
@@ -196,10 +204,12 @@
         }
     }
 
-    /// The process that registered the key under this label is dead, since this one took its
-    /// place: nobody needs to wait until its lease expires.
-    fn after_predecessor(row: &KeyValue) -> Registration {
-        serde_json::from_value::<MemberRecord>(row.value.clone())
+    /// Returns the state after the member key of an earlier incarnation was read. The process that
+    /// wrote the key is dead, since this process runs under the same label. Its lease is revoked,
+    /// so that no member has to wait until the lease expires. Without a readable record, the lease
+    /// is unknown and cannot be revoked.
+    fn after_predecessor(entry: &KeyValue) -> Registration {
+        serde_json::from_value::<MemberRecord>(entry.value.clone())
             .map_or(Registration::GrantingLease, |predecessor| {
                 Registration::RevokingPredecessor(predecessor.lease_id)
             })
--- a/src/partitions/membership/tests.rs
+++ b/src/partitions/membership/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of a controller's membership: its registration and the time until which it may act.
+
 use super::*;
 
 fn membership() -> Membership {
@@ -9,6 +11,7 @@
     )
 }
 
+/// Registers a member whose predecessor left no key, as incarnation 42 with lease 7.
 fn register(member: &mut Membership, now: Micros) {
     member
         .next_request(now)
@@ -20,6 +23,8 @@
     member.handle_reply(now, &Reply::Committed(Revision(42)));
 }
 
+/// Guards against a restarted controller that waits until the lease of its predecessor expires
+/// before it can write the member key.
 #[test]
 fn a_restart_under_the_same_label_revokes_the_predecessors_lease_and_registers_at_once() {
     let mut member = membership();
@@ -46,6 +51,8 @@
     assert_eq!(member.incarnation(), Some(Revision(42)));
 }
 
+/// Guards against a controller that acts after its lease may have expired: the reply to a renewal
+/// arrives later than the moment from which the store counts the time to live.
 #[test]
 fn the_lease_counts_from_when_its_renewal_was_sent() {
     let mut member = membership();
@@ -60,13 +67,15 @@
         member.may_act_until(Micros::from_secs(30.0)),
         Micros::from_secs(16.0)
     );
-    // Without a read of the changes, the renewal does not help.
+    // Without a later read of the store's changes, the renewal does not extend the time.
     assert_eq!(
         member.may_act_until(Micros::from_secs(2.0)),
         Micros::from_secs(13.0)
     );
 }
 
+/// Guards against a controller that acts without a lease: the store may not have carried out a
+/// renewal without a reply, and an expired lease means that the incarnation is no longer a member.
 #[test]
 fn an_indeterminate_renewal_extends_nothing_and_an_expired_lease_ends_the_incarnation() {
     let mut member = membership();
--- a/src/partitions/mod.rs
+++ b/src/partitions/mod.rs
@@ -1,9 +1,9 @@
-//! Partitions of machines: the stored records of the leader, the partition owners and their
-//! fencing terms, and the leases that bound how long a controller may act.
+//! Partitions of machines: the stored records of the leader, the members, the partition owners
+//! and the fencing terms, and the leases that limit how long a controller may act.
 //!
-//! Owns the records, the splitting of a partition's machines into shards, the format level,
-//! and the client side of the leases. It must never decide who leads or who owns a
-//! partition (that is `leader`), nor act for one (that is `partition_owner`).
+//! This module owns the records, the splitting of a partition's machines into shards, the format
+//! level, and the client side of the leases. It must never decide which controller leads or owns
+//! a partition (see `leader`), and it must never act for a partition (see `partition_owner`).
 
 mod format_level;
 pub mod lease;
--- a/src/partitions/records.rs
+++ b/src/partitions/records.rs
@@ -1,114 +1,122 @@
-//! The records about partitions that the key-value store holds: terms, members, the
+//! The records about partitions in the key-value store: terms, members, the format level, the
 //! leader, partition owners and machines.
 //!
-//! Owns only their stored form. The field names on the wire are fixed by
-//! `#[serde(rename)]`; who may write a record, and when, is decided by its writers.
+//! This module owns only the stored form of the records. Where a stored field name differs from
+//! the name in the code, `#[serde(rename)]` fixes it. The modules that write a record decide when
+//! it may be written, and by which controller.
 
 use super::format_level::FormatLevel;
 use crate::ids::{Label, LeaseId, Revision, Term};
 use serde::{Deserialize, Serialize};
 
-/// The last allocated term; every grant of a partition takes the next.
+/// Record of the allocated fencing terms. Every grant of a partition takes the next term.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct TermRecord {
-    /// The last allocated term.
+    /// Last allocated term, 0 before the first allocation.
     pub last: Term,
 }
 
-/// A controller that is a member of the cluster. Its key is attached to the member's own
-/// lease and written once per incarnation, so that its revision names the incarnation.
+/// Record of a controller that is a member of the cluster. Its key is attached to the member's
+/// lease and written once per incarnation, so the key's revision identifies the incarnation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The address on which it listens for its peers.
+    /// Address on which the member listens for its peers.
     pub addr: String,
-    /// The lease that its key is attached to.
+    /// Lease to which the member's key is attached.
     #[serde(rename = "tenure")]
     pub lease_id: LeaseId,
-    /// The newest format level that it understands. Records of earlier versions lack it.
+    /// Newest format level that the member understands. Level 0 is not stored, and records of
+    /// versions from before format levels lack the field.
     #[serde(default, skip_serializing_if = "FormatLevel::is_first")]
     pub format: FormatLevel,
 }
 
-/// The format level in use: the highest that every controller understands.
+/// Record of the format level in use: the highest that every controller understands.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct FormatRecord {
-    /// The level.
+    /// Format level in use.
     pub level: FormatLevel,
 }
 
-/// The leader.
+/// Record of the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The leader's label.
+    /// Label of the leader.
     #[serde(rename = "holder")]
     pub leader: Label,
-    /// The leader's incarnation, by its member key's revision: machine names allocated
-    /// under one leadership are never used by the next, even of the same controller.
+    /// Incarnation of the leader: the revision of its member key. A restarted controller has a
+    /// new incarnation and does not continue its earlier leadership, so machine names that were
+    /// allocated under one leadership are never used under the next.
     pub incarnation: Revision,
 }
 
-/// The owner of a partition. Valid while that incarnation's member lease is.
+/// Record of the owner of a partition. It is valid while the member lease of the owner's
+/// incarnation is valid.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PartitionOwnerRecord {
-    /// The owner's label.
+    /// Label of the owner.
     #[serde(rename = "holder")]
     pub owner: Label,
-    /// The owner's incarnation. Revision 0: handed back, the partition has no owner.
+    /// Incarnation of the owner. Revision 0 means that this owner has handed the partition back
+    /// and that the partition has no owner.
     pub incarnation: Revision,
-    /// The term of the grant.
+    /// Fencing term of the grant.
     pub term: Term,
-    /// The teams whose jobs belong to the partition.
+    /// Names of the teams whose jobs belong to the partition.
     pub teams: Vec<String>,
 }
 
-/// Why an owner released an idle machine.
+/// Reason for which an owner released an idle machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ReleaseReason {
-    /// It moves to another partition.
+    /// The machine moves to another partition.
     Move,
-    /// It goes back to the cloud: scale in.
+    /// The machine is returned to the cloud (scale-in).
     Return,
 }
 
-/// A machine of a partition.
+/// Record of a machine of a partition.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Its address, learnt from its heartbeats and recorded when it is first used.
+    /// Address of the machine's worker, empty while unknown. It is learned from the worker's
+    /// heartbeats and recorded when the machine is first used, or taken from the cloud's list
+    /// when the machine is adopted.
     #[serde(rename = "a", default, skip_serializing_if = "String::is_empty")]
     pub addr: String,
-    /// The machine's type.
+    /// Name of the machine's type.
     #[serde(rename = "b")]
     pub machine_type: String,
-    /// The machine's zone.
+    /// Zone of the machine.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Whether it is a spot instance, which the cloud may preempt.
+    /// Whether the machine is a spot instance, which the cloud may preempt.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// The machine's own fencing term; the partition's counts if that is higher.
+    /// Fencing term of the machine. The higher of this term and the partition's term applies.
     #[serde(rename = "t")]
     pub term: Term,
-    /// Set before any attempt is launched on it: after a failover the next owner knows
-    /// that a machine without it is blank, and need not wait for its heartbeat.
+    /// Whether an attempt may have been launched on the machine. Set before the first launch:
+    /// after a failover, the new owner knows that nothing runs on a machine without this flag, and
+    /// does not have to wait for its heartbeat.
     #[serde(rename = "u", default, skip_serializing_if = "std::ops::Not::not")]
     pub used: bool,
-    /// Set once its owner released it.
+    /// Reason for which the owner released the machine, `None` if the machine is not released.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub release_reason: Option<ReleaseReason>,
 }
 
-/// What the record takes beside its machine type and zone, in bytes.
-const FIXED_BYTES: usize = 100;
+/// Estimated size of a record without its machine type and its zone, in bytes.
+const FIXED_RECORD_BYTES: usize = 100;
 
 impl MachineRecord {
-    /// The estimated size of the record as JSON, in bytes, with its name and the fields
-    /// that are set later.
+    /// Returns the estimated size of the record as JSON, in bytes. It includes the machine's
+    /// identifier and the fields that are set later.
     pub(super) fn estimated_size(&self) -> usize {
-        self.machine_type.len() + self.zone.len() + FIXED_BYTES
+        self.machine_type.len() + self.zone.len() + FIXED_RECORD_BYTES
     }
 
-    /// A machine on which nothing was launched yet.
+    /// Creates the record of a machine on which no attempt has been launched.
     pub fn blank(addr: String, machine_type: &str, zone: &str, spot: bool) -> Self {
         MachineRecord {
             addr,
--- a/src/partitions/request_pacing.rs
+++ b/src/partitions/request_pacing.rs
@@ -1,11 +1,13 @@
-//! When the next request about a lease may be sent: one at a time, and not before its time.
+//! Pacing of the requests about a lease: at most one is in flight, and none is sent before its
+//! earliest time.
 
 use crate::clock::Micros;
 
-/// How long to wait before a failed request is retried.
+/// Delay before a failed request is retried.
 pub(super) const RETRY_INTERVAL: Micros = Micros::from_millis(300);
 
-/// The request in flight, if any, and the earliest time of the next.
+/// State of the requests about a lease: when the request in flight was sent, if there is one, and
+/// the earliest time of the next request.
 #[derive(Debug, Default)]
 pub(super) struct RequestPacing {
     in_flight_since: Option<Micros>,
@@ -13,7 +15,7 @@
 }
 
 impl RequestPacing {
-    /// Whether a request may be sent at `now`; if so, it is in flight from then on.
+    /// Returns whether a request may be sent at `now`. If so, the request counts as in flight.
     pub(super) fn begin(&mut self, now: Micros) -> bool {
         if self.in_flight_since.is_some() || now < self.next_attempt_at {
             return false;
@@ -22,12 +24,13 @@
         true
     }
 
-    /// The request in flight was answered: when it was sent.
+    /// Ends the request in flight, which has been answered. Returns when it was sent, or `now` if
+    /// no request was in flight.
     pub(super) fn finish(&mut self, now: Micros) -> Micros {
         self.in_flight_since.take().unwrap_or(now)
     }
 
-    /// The next request is sent no earlier than `at`.
+    /// Delays the next request until `at`.
     pub(super) fn delay_until(&mut self, at: Micros) {
         self.next_attempt_at = at;
     }
--- a/src/partitions/shards.rs
+++ b/src/partitions/shards.rs
@@ -1,7 +1,8 @@
-//! Shards: the machines of a partition, spread over several values of the key-value store.
+//! Shards: the machines of a partition, distributed over several values of the key-value store.
 //!
-//! Owns how large a shard may grow and how an oversize one is split. It must never produce a
-//! shard of more than one machine that exceeds the store's limit on a value.
+//! This module owns the maximum size of a shard and the splitting of oversize shards. It must
+//! never produce a shard of more than one machine that exceeds the store's limit on the size of a
+//! value.
 
 use super::records::MachineRecord;
 use crate::ids::{MachineId, PartitionId, Revision};
@@ -9,39 +10,39 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The preferred size of a shard, in bytes. Larger ones cost every watcher more at each
-/// change than they save.
+/// Preferred maximum size of a shard, in bytes. A larger shard costs every watcher more at each
+/// change than it saves.
 const PREFERRED_SHARD_BYTES: usize = 8 * 1024;
 
-/// Of a value, one part in so many stays free, since sizes are estimates.
+/// Divisor that gives the part of a value that stays free (one eighth), since sizes are estimates.
 const RESERVED_DIVISOR: usize = 8;
 
-/// A shard of a partition's machines.
+/// Record of a shard: some of a partition's machines, by their identifiers.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ShardRecord(pub BTreeMap<MachineId, MachineRecord>);
 
 impl ShardRecord {
-    /// The estimated size of the shard as JSON, in bytes.
+    /// Returns the estimated size of the shard as JSON, in bytes.
     pub fn estimated_size(&self) -> usize {
         self.0.values().map(MachineRecord::estimated_size).sum()
     }
 
-    /// Whether one more machine fits in a value of at most `max_value_bytes`. An empty
-    /// shard takes any machine.
+    /// Returns whether the shard with one more machine fits in a value of at most
+    /// `max_value_bytes`. An empty shard has room for any machine.
     pub fn has_room(&self, record: &MachineRecord, max_value_bytes: usize) -> bool {
         self.0.is_empty()
             || self.estimated_size() + record.estimated_size() <= max_shard_bytes(max_value_bytes)
     }
 
-    /// Whether it is too large to be written where a value holds at most `max_value_bytes`.
-    /// An earlier version may have written it under a higher limit.
+    /// Returns whether the shard is too large for a value of at most `max_value_bytes`. An earlier
+    /// version may have written it under a higher limit. A shard of one machine is never oversize.
     pub fn is_oversize(&self, max_value_bytes: usize) -> bool {
         self.0.len() > 1 && self.estimated_size() > max_shard_bytes(max_value_bytes)
     }
 
-    /// Splits it into parts that each fit in a value of at most `max_value_bytes`. There is
-    /// always at least one.
+    /// Splits the shard into parts that each fit in a value of at most `max_value_bytes`. Returns
+    /// at least one part.
     pub fn split(self, max_value_bytes: usize) -> Vec<ShardRecord> {
         let mut parts = vec![ShardRecord::default()];
         for (id, record) in self.0 {
@@ -56,8 +57,9 @@
     }
 }
 
-/// The compare-and-swap that writes a shard of a partition in parts: the first in place of
-/// the shard that was read at `revision`, the others under free shard numbers.
+/// Returns the compares and the mutations that write a shard of a partition in parts. The first
+/// part replaces the shard that was read at `revision`; the others are written under free shard
+/// numbers.
 pub fn write_parts(
     partition: PartitionId,
     (shard, revision): (u32, Revision),
@@ -76,7 +78,8 @@
     shards.zip(parts).map(write).unzip()
 }
 
-/// The size of a shard, in bytes, beyond which it is split.
+/// Returns the size above which a shard is split, in bytes, where a value holds at most
+/// `max_value_bytes`.
 fn max_shard_bytes(max_value_bytes: usize) -> usize {
     PREFERRED_SHARD_BYTES.min(max_value_bytes - max_value_bytes / RESERVED_DIVISOR)
 }
