--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -1,11 +1,11 @@
-//! The leader's autoscaler: which instances to scale out, which machines to release, and which
-//! partition each machine is recorded in.
+//! The leader's autoscaler. It decides which instances to scale out, which machines to release,
+//! and in which partition each machine is recorded.
 //!
-//! It owns the requests to the cloud and the writes of machines' shards and scale-out records.
-//! It decides by a [`FleetSnapshot`] alone and returns [`Effect`]s; it never does I/O and reads
-//! no clock. All of its writes name the leader's key, so none is carried out once another
-//! controller leads. What it knows lives only as long as one leadership; what must outlive it
-//! is in the store.
+//! It owns the requests to the cloud and the writes of machine shards and scale-out records.
+//! Its inputs are a [`FleetSnapshot`] and the replies to its requests and writes, and its outputs
+//! are [`Effect`]s. It does no I/O and reads no clock. Every write compares the revision of the
+//! leader's key, so no write is carried out once another controller leads. The state in memory
+//! lasts for one leadership. State that has to last longer is recorded in the store.
 
 mod instance_list;
 mod offers;
@@ -33,71 +33,75 @@
 use std::collections::BTreeMap;
 use zone_failover::leader::ScaleOutAccess;
 
-/// How often the autoscaler decides.
+/// Minimum interval between two steps of the autoscaler.
 const STEP_INTERVAL: Micros = Micros::from_millis(150);
 
-/// How often all machines are scanned for those to release, move or adopt.
+/// Minimum interval between two scans of all machines for those to release, move or adopt.
 const SCAN_INTERVAL: Micros = Micros::from_millis(800);
 
-/// How old an owner's report of its partition may be to be decided by.
+/// Maximum age of an owner's report of its partition. Older reports are ignored.
 const PARTITION_STATE_MAX_AGE: Micros = Micros::from_millis(4_000);
 
-/// A write of the autoscaler, as it comes back with the store's reply.
+/// Identifies a write of the autoscaler when the store's reply is handled.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Write {
-    /// Machines' shards.
+    /// The write changes machine shards.
     RecordMachines {
-        /// The scale-outs whose machines are all recorded with it.
+        /// Names of the scale-outs whose machines are all recorded by the write. It deletes the
+        /// records of these scale-outs.
         completed_scale_outs: Vec<String>,
     },
-    /// Makes an earlier write of machines fail, should it still be under way.
+    /// The write makes an earlier write of machine shards fail if the store has not carried that
+    /// one out yet.
     Fence,
-    /// A shard is recorded in parts.
+    /// The write replaces an oversize shard by its parts.
     SplitShard,
-    /// A scale-out, before the cloud gets the request.
+    /// The write records a scale-out before it is requested from the cloud.
     RecordScaleOut {
-        /// The name that the cloud knows the scale-out by.
+        /// Name under which the scale-out is requested from the cloud.
         name: String,
-        /// What is to be scaled out.
+        /// Machines to scale out.
         record: ScaleOutRecord,
     },
-    /// The record of a scale-out that the cloud refused goes.
+    /// The write deletes the record of a scale-out that the cloud refused.
     DeleteScaleOut {
-        /// The name that the cloud knows the scale-out by.
+        /// Name under which the scale-out was requested from the cloud.
         name: String,
     },
 }
 
-/// What the autoscaler wants done.
+/// An action that the caller of the autoscaler has to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// A write to the store.
+    /// Send a compare-and-swap to the store.
     CompareAndSwap {
-        /// Handed back with the reply.
+        /// Identifies the write. The caller passes it to [`Autoscaler::handle_store_reply`] with
+        /// the store's reply.
         write: Write,
-        /// The conditions.
+        /// Conditions that must all hold for the mutations to be carried out.
         compares: Vec<Compare>,
-        /// The changes.
+        /// Changes to the store.
         mutations: Vec<Mutation>,
     },
-    /// A request to the cloud.
+    /// Send a request to the cloud. The caller passes it to [`Autoscaler::handle_cloud_reply`]
+    /// with the cloud's reply.
     Cloud(CloudRequest),
 }
 
-/// What the autoscaler decides by.
+/// Inputs of one step of the autoscaler.
 #[derive(Clone, Copy)]
 pub struct FleetSnapshot<'a> {
-    /// What was read of the store.
+    /// The store's records as this controller has read them.
     pub cache: &'a WatchCache,
-    /// The condition that this controller still leads.
+    /// Compare that holds only while this controller leads.
     pub leader: &'a Compare,
-    /// The store's revision that the cache has reached.
+    /// Revision of the store up to which the cache includes all changes.
     pub applied_revision: Revision,
-    /// The machine types.
+    /// Machine types that the cloud offers.
     pub machine_types: &'a [MachineType],
-    /// What the partitions' owners last reported.
+    /// Latest report of each partition's owner.
     pub partition_states: &'a BTreeMap<PartitionId, PartitionState>,
-    /// Whether machines may be scaled out in a zone.
+    /// Returns whether machines may be scaled out in a zone.
     pub scale_out_access: &'a dyn Fn(&str) -> ScaleOutAccess,
 }
 
@@ -109,7 +113,7 @@
     }
 }
 
-/// The autoscaler of a controller. It acts only while the controller leads.
+/// The autoscaler of a controller. Its steps run only while the controller leads.
 pub struct Autoscaler {
     limits: WriteLimits,
     last_step_at: Micros,
@@ -121,16 +125,16 @@
 }
 
 impl Autoscaler {
-    /// An autoscaler before its first leadership.
+    /// Creates the autoscaler of a controller that has not led yet.
     pub fn new(settings: &Settings, policy: &Policy) -> Self {
         let limits = WriteLimits {
             max_mutations: settings.max_mutations(),
             max_value_bytes: settings.platform.state.lowest_value_bytes(),
         };
-        Autoscaler::at_start(limits, ScaleOuts::new(policy.scale_out_horizon))
+        Autoscaler::initial(limits, ScaleOuts::new(policy.scale_out_horizon))
     }
 
-    fn at_start(limits: WriteLimits, scale_outs: ScaleOuts) -> Self {
+    fn initial(limits: WriteLimits, scale_outs: ScaleOuts) -> Self {
         Autoscaler {
             limits,
             last_step_at: Micros::ZERO,
@@ -142,14 +146,16 @@
         }
     }
 
-    /// Decides what is to be done now. Called often; does little when nothing is due.
+    /// Returns the requests and writes that are due at `now`. It may be called at any rate: it
+    /// returns nothing until the minimum interval since the last step has passed.
     pub fn step(&mut self, now: Micros, fleet: &FleetSnapshot<'_>) -> Vec<Effect> {
         let leader_revision = fleet.leader.revision;
         if self.scale_outs.leader_revision() != leader_revision {
-            // What an earlier leadership knew is stale; replies under way are dropped by their
-            // names. Its scale-outs are in the store.
-            let scale_outs = self.scale_outs.under_leadership(leader_revision);
-            *self = Autoscaler::at_start(self.limits, scale_outs);
+            // The state of an earlier leadership is stale. The cloud's replies to its scale-outs
+            // are ignored, because their names are unknown now. Its scale-outs are recorded in
+            // the store and adopted from there.
+            let scale_outs = self.scale_outs.for_leadership(leader_revision);
+            *self = Autoscaler::initial(self.limits, scale_outs);
         }
         let mut effects = Vec::new();
         if now.since(self.last_step_at) < STEP_INTERVAL {
@@ -157,7 +163,7 @@
         }
         self.last_step_at = now;
         if self.shard_writes.are_visible_at(fleet.applied_revision) {
-            // Before that the cache may show scale-outs that are completed.
+            // An older cache may still show the records of completed scale-outs.
             self.scale_outs.adopt_recorded(now, fleet.cache);
         }
         effects.extend(self.instances.next_request(now).map(Effect::Cloud));
@@ -184,7 +190,7 @@
         effects
     }
 
-    /// Takes in the cloud's reply to a request.
+    /// Handles the cloud's reply to a request.
     pub fn handle_cloud_reply(&mut self, now: Micros, request: CloudRequest, reply: CloudReply) {
         match request {
             CloudRequest::MachineTypes => {}
@@ -203,7 +209,7 @@
         }
     }
 
-    /// Takes in the store's reply to a write.
+    /// Handles the store's reply to a write.
     pub fn handle_store_reply(&mut self, now: Micros, write: Write, reply: &Reply) {
         match write {
             Write::RecordMachines {
--- a/src/autoscaler/offers.rs
+++ b/src/autoscaler/offers.rs
@@ -1,4 +1,6 @@
-//! What the cloud offers: which offers it refused lately, and which one is the cheapest.
+//! Choice of the cheapest offer for a capacity request, and backoff from offers that the cloud
+//! refused. An offer is a machine type in a zone, as spot or on-demand instances; being spot or
+//! on-demand is called its kind.
 
 use super::FleetSnapshot;
 use super::scale_outs::ScaleOuts;
@@ -9,42 +11,45 @@
 use std::collections::BTreeMap;
 use zone_failover::leader::ScaleOutAccess;
 
-/// A large machine must be this many times cheaper per task to be scaled out for small tasks,
-/// while large ones lack room.
+/// Factor on the compared price of a large machine while tasks that need one lack capacity. It is
+/// scaled out for small tasks only if it is more than this many times cheaper per task.
 const SCARCITY_FACTOR: f64 = 1.5;
 
-/// A zone that has all machines of a type and kind seems dearer by this share. By a share of
-/// the machines, not their number: that once made spot instances seem dearer than ordinary
-/// ones in large fleets.
+/// Surcharge on the compared price in a zone that has all machines of a type and kind, as a
+/// fraction of the price. It is proportional to the zone's share of the machines and not to their
+/// number: a surcharge by number made spot instances look more expensive than on-demand ones in
+/// large fleets.
 const CONCENTRATION_SURCHARGE: f64 = 0.3;
 
-/// The concentration counts as if there were at least so many machines of a type and kind.
+/// Minimum number of machines of a type and kind that the concentration is computed with. If
+/// there are fewer, this number is used in their place.
 const MIN_MACHINES_FOR_CONCENTRATION: usize = 30;
 
-/// How long an offer is not used after it brought fewer machines than requested.
+/// Time for which an offer is not used after it provided fewer machines than requested.
 const EXHAUSTED_BACKOFF: Micros = Micros::from_millis(15_000);
 
-/// How long an offer is not used after a refusal, in milliseconds: doubled with each …
+/// Base of the exponential backoff after refusals, in milliseconds. It is doubled once for each
+/// refusal, the first one included.
 const REFUSAL_BACKOFF_MS: u64 = 5_000;
 
-/// … of the first so many.
+/// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Stands for all zones together in [`MachineCounts`].
+/// Zone name under which [`MachineCounts`] counts the machines of all zones.
 const ALL_ZONES: &str = "";
 
-/// A machine type in a zone, as spot or ordinary instances: what the cloud may or may not have
-/// more of.
+/// Identifies an offer: a machine type in a zone, as spot or on-demand instances. The cloud may
+/// have capacity for one offer and none for another.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct InstanceOffer {
+pub(super) struct OfferKey {
     machine_type: String,
     zone: String,
     spot: bool,
 }
 
-impl From<&ScaleOutRecord> for InstanceOffer {
+impl From<&ScaleOutRecord> for OfferKey {
     fn from(record: &ScaleOutRecord) -> Self {
-        InstanceOffer {
+        OfferKey {
             machine_type: record.machine_type.clone(),
             zone: record.zone.clone(),
             spot: record.spot,
@@ -58,18 +63,18 @@
     refusals: u32,
 }
 
-/// The offers that had too few machines lately, and until when they are not used.
+/// Offers that recently had too few machines, and the time until which each of them is not used.
 #[derive(Default)]
-pub(super) struct OfferBackoff(BTreeMap<InstanceOffer, Backoff>);
+pub(super) struct OfferBackoff(BTreeMap<OfferKey, Backoff>);
 
 impl OfferBackoff {
-    fn is_open(&self, now: Micros, offer: &InstanceOffer) -> bool {
+    fn is_open(&self, now: Micros, offer: &OfferKey) -> bool {
         let backoff = self.0.get(offer);
         backoff.is_none_or(|backoff| now >= backoff.until)
     }
 
-    /// The offer brought fewer machines than requested: it has no more for now.
-    pub(super) fn note_exhausted(&mut self, now: Micros, offer: InstanceOffer) {
+    /// Records that an offer provided fewer machines than requested and has no more for now.
+    pub(super) fn note_exhausted(&mut self, now: Micros, offer: OfferKey) {
         let backoff = Backoff {
             until: now + EXHAUSTED_BACKOFF,
             refusals: 1,
@@ -77,21 +82,21 @@
         self.0.insert(offer, backoff);
     }
 
-    /// The offer was refused: exponential backoff.
-    pub(super) fn note_refusal(&mut self, now: Micros, offer: InstanceOffer) {
+    /// Records that the cloud refused an offer. The backoff grows exponentially.
+    pub(super) fn note_refusal(&mut self, now: Micros, offer: OfferKey) {
         let backoff = self.0.entry(offer).or_default();
         backoff.refusals += 1;
         let doublings = backoff.refusals.min(MAX_BACKOFF_DOUBLINGS);
         backoff.until = now + Micros::from_millis(REFUSAL_BACKOFF_MS << doublings);
     }
 
-    /// The offer brought all machines that were requested.
-    pub(super) fn clear(&mut self, offer: &InstanceOffer) {
+    /// Ends the backoff of an offer that provided all requested machines.
+    pub(super) fn clear(&mut self, offer: &OfferKey) {
         self.0.remove(offer);
     }
 }
 
-/// An offer, with what is known of its type.
+/// An offer with its machine type.
 #[derive(Clone, Copy)]
 pub(super) struct Offer<'a> {
     pub(super) machine_type: &'a MachineType,
@@ -106,8 +111,8 @@
             && record.spot == self.spot
     }
 
-    fn key(&self) -> InstanceOffer {
-        InstanceOffer {
+    fn key(&self) -> OfferKey {
+        OfferKey {
             machine_type: self.machine_type.name.clone(),
             zone: self.zone.into(),
             spot: self.spot,
@@ -130,11 +135,11 @@
     spot: bool,
 }
 
-/// How many machines are recorded of each type, zone and kind.
+/// Number of recorded machines of each type, zone and kind.
 pub(super) struct MachineCounts<'a>(BTreeMap<CountKey<'a>, usize>);
 
 impl<'a> MachineCounts<'a> {
-    /// Counts the recorded machines.
+    /// Counts the machines recorded in the cache.
     pub(super) fn new(cache: &'a WatchCache) -> Self {
         let mut counts: BTreeMap<CountKey<'a>, usize> = BTreeMap::new();
         for (_, _, machine) in cache.all_machines() {
@@ -159,7 +164,7 @@
         self.0.get(&key).copied().unwrap_or(0)
     }
 
-    /// The share of a type and kind's machines that an offer's zone has.
+    /// Returns the fraction of the machines of an offer's type and kind that are in its zone.
     fn concentration(&self, offer: &Offer<'_>) -> f64 {
         let all = self
             .of(offer, ALL_ZONES)
@@ -168,7 +173,7 @@
     }
 }
 
-/// What offers are compared by in one step.
+/// Inputs for the comparison of offers in one step.
 #[derive(Clone, Copy)]
 pub(super) struct OfferSearch<'a> {
     pub(super) now: Micros,
@@ -177,8 +182,9 @@
 }
 
 impl ScaleOuts {
-    /// The offer with the lowest price per task, of those that can be used now; at equal prices
-    /// the one that there are fewest machines of, so that one wave does not take all.
+    /// Returns the offer with the lowest compared price per task among those that can be used now,
+    /// or `None` if none can. At equal prices, the surcharge for concentration prefers the zone
+    /// with the fewest machines, so that a single wave of losses does not take all machines.
     pub(super) fn cheapest_offer<'a>(
         &self,
         search: &OfferSearch<'a>,
@@ -211,17 +217,18 @@
         best.map(|(_, offer)| offer)
     }
 
-    /// Whether anything may be scaled out in a zone. Where its health is to be probed, one
-    /// machine at a time.
+    /// Returns whether machines may be scaled out in a zone. A zone that has to be probed for its
+    /// health gets one scale-out at a time.
     fn may_scale_out_in(&self, zone: &str, fleet: &FleetSnapshot<'_>) -> bool {
         match (fleet.scale_out_access)(zone) {
             ScaleOutAccess::Open => true,
-            ScaleOutAccess::Probe => !self.is_any_in(zone),
+            ScaleOutAccess::Probe => !self.has_scale_out_in(zone),
             ScaleOutAccess::Closed => false,
         }
     }
 
-    /// Whether an offer suits a request, was not refused lately and is not being used already.
+    /// Returns whether an offer fits a request, is not in backoff, and is not used by a scale-out
+    /// in progress.
     fn is_usable(&self, now: Micros, offer: &Offer<'_>, request: &CapacityRequest) -> bool {
         let Offer {
             machine_type,
@@ -233,8 +240,8 @@
             && request.fits(&machine_type.name, zone, spot, &machine_type.capacity())
     }
 
-    /// The price that offers are compared by, per hour and task: the offer's, raised where
-    /// larger tasks lack such machines and where a zone has many of them already.
+    /// Returns the price per hour and task by which offers are compared. It is the offer's price,
+    /// raised if larger tasks lack such machines and if the zone already has many of them.
     fn price_per_task(
         &self,
         search: &OfferSearch<'_>,
@@ -243,7 +250,8 @@
         tasks_per_machine: u32,
     ) -> f64 {
         let concentration = search.counts.concentration(offer);
-        let scarcity = if self.is_wanted_by_larger(search.fleet, offer.machine_type, request) {
+        let scarcity = if self.is_needed_by_larger_tasks(search.fleet, offer.machine_type, request)
+        {
             SCARCITY_FACTOR
         } else {
             1.0
@@ -253,9 +261,10 @@
             * (1.0 + CONCENTRATION_SURCHARGE * concentration)
     }
 
-    /// Whether work that fits no smaller type lacked room lately: there are only so many large
-    /// machines, and small tasks have a choice.
-    fn is_wanted_by_larger(
+    /// Returns whether tasks that fit on `machine_type`, but not on the smallest type that fits
+    /// `request`, recently lacked capacity. The cloud has a limited number of large machines, and
+    /// small tasks can use other types.
+    fn is_needed_by_larger_tasks(
         &self,
         fleet: &FleetSnapshot<'_>,
         machine_type: &MachineType,
--- a/src/autoscaler/partition_balancer.rs
+++ b/src/autoscaler/partition_balancer.rs
@@ -1,4 +1,4 @@
-//! Which partition a machine goes to.
+//! Choice of the partition in which a machine is recorded.
 
 use super::FleetSnapshot;
 use crate::cloud::MachineType;
@@ -6,57 +6,63 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// A partition's machines, in cores.
+/// Cores of a partition's machines.
 #[derive(Default)]
-struct PartitionLoad {
-    /// Recorded in it, or assigned to it now.
-    cores: f64,
-    /// Assigned to it now: its owner's report does not count them yet.
-    assigned_cores: f64,
+struct PartitionCores {
+    /// Cores of the machines that are recorded in the partition or assigned to it in this write.
+    total: f64,
+    /// Cores of the machines that are assigned to the partition in this write. The owner's report
+    /// does not include them yet.
+    newly_assigned: f64,
 }
 
-/// How much a partition has to gain from a machine.
-struct Claim {
+/// A partition's need for a machine. The partition with the greatest need is assigned the machine.
+struct PartitionNeed {
     lacking_cores: f64,
     cores: f64,
 }
 
-impl Claim {
-    /// The more is lacking, the higher; at equal lack the fewer cores there are.
-    fn total_cmp(&self, other: &Claim) -> Ordering {
+impl PartitionNeed {
+    /// Compares the lacking cores. If they are equal, the need is greater where there are fewer
+    /// cores.
+    fn total_cmp(&self, other: &PartitionNeed) -> Ordering {
         self.lacking_cores
             .total_cmp(&other.lacking_cores)
             .then(other.cores.total_cmp(&self.cores))
     }
 }
 
-/// Spreads machines over the partitions: to the one that lacks such a machine most, by what its
-/// owner reports and what was assigned to it just now, or to the one with the fewest cores.
+/// Distributes machines over the partitions. A machine is assigned to the partition that lacks
+/// most cores of such machines, by its owner's report and the assignments of this write. If no
+/// partition lacks any, it is assigned to the partition with the fewest cores.
 pub(super) struct PartitionBalancer<'a> {
     fleet: FleetSnapshot<'a>,
-    loads: BTreeMap<PartitionId, PartitionLoad>,
+    cores_by_partition: BTreeMap<PartitionId, PartitionCores>,
 }
 
 impl<'a> PartitionBalancer<'a> {
-    /// A balancer of all partitions that have an owner's record.
+    /// Creates a balancer for all partitions that have an owner record.
     pub(super) fn new(fleet: &FleetSnapshot<'a>) -> Self {
         let partitions = fleet.cache.partition_owners.keys();
-        let mut loads: BTreeMap<PartitionId, PartitionLoad> = partitions
-            .map(|partition| (*partition, PartitionLoad::default()))
+        let mut cores_by_partition: BTreeMap<PartitionId, PartitionCores> = partitions
+            .map(|partition| (*partition, PartitionCores::default()))
             .collect();
         for (partition, _, machine) in fleet.cache.all_machines() {
             let machine_type = fleet.machine_type(&machine.machine_type);
-            if let (Some(load), Some(machine_type)) = (loads.get_mut(&partition), machine_type) {
-                load.cores += machine_type.cores;
+            if let (Some(cores), Some(machine_type)) =
+                (cores_by_partition.get_mut(&partition), machine_type)
+            {
+                cores.total += machine_type.cores;
             }
         }
         PartitionBalancer {
             fleet: *fleet,
-            loads,
+            cores_by_partition,
         }
     }
 
-    /// Assigns a machine to a partition; to none if its type is unknown.
+    /// Assigns a machine to a partition. Returns the partition, or `None` if the machine's type is
+    /// unknown or there is no partition.
     pub(super) fn assign(
         &mut self,
         machine_type: &str,
@@ -64,25 +70,26 @@
         spot: bool,
     ) -> Option<PartitionId> {
         let machine_type = self.fleet.machine_type(machine_type)?;
-        let claim = |partition: &PartitionId, load: &PartitionLoad| {
+        let need = |partition: &PartitionId, cores: &PartitionCores| {
             let requested = self.requested_cores(*partition, machine_type, zone, spot);
-            Claim {
-                lacking_cores: (requested - load.assigned_cores).max(0.0),
-                cores: load.cores,
+            PartitionNeed {
+                lacking_cores: (requested - cores.newly_assigned).max(0.0),
+                cores: cores.total,
             }
         };
         let (partition, _) = self
-            .loads
+            .cores_by_partition
             .iter()
-            .map(|(partition, load)| (*partition, claim(partition, load)))
+            .map(|(partition, cores)| (*partition, need(partition, cores)))
             .max_by(|(_, one), (_, other)| one.total_cmp(other))?;
-        let load = self.loads.entry(partition).or_default();
-        load.assigned_cores += machine_type.cores;
-        load.cores += machine_type.cores;
+        let cores = self.cores_by_partition.entry(partition).or_default();
+        cores.newly_assigned += machine_type.cores;
+        cores.total += machine_type.cores;
         Some(partition)
     }
 
-    /// The cores that a partition's waiting work requests and such a machine can provide.
+    /// Returns the cores that a partition's waiting tasks request and that machines of this type,
+    /// zone and kind can provide.
     fn requested_cores(
         &self,
         partition: PartitionId,
--- a/src/autoscaler/pending_capacity.rs
+++ b/src/autoscaler/pending_capacity.rs
@@ -1,38 +1,41 @@
-//! What is known of capacity beside the owners' latest reports: machines that are under way, and
-//! the requests that lacked room lately.
+//! Capacity beyond the owners' latest reports: machines that are being scaled out, and requests
+//! that recently lacked capacity.
 
 use crate::clock::Micros;
 use crate::fairness::Resources;
 use crate::ids::PartitionId;
 use std::collections::BTreeMap;
 
-/// How long requested machines count while the cloud has not replied.
+/// Time for which requested machines count as pending while the cloud has not replied.
 const REQUESTED_TIMEOUT: Micros = Micros::from_millis(8_000);
 
-/// How long machines that the cloud confirmed count, until the owner's reports show them.
+/// Time for which machines count as pending after the cloud has confirmed them. After this time,
+/// the owner's reports include them.
 const CONFIRMED_TIMEOUT: Micros = Micros::from_millis(3_000);
 
-/// How long a request that lacked room is remembered.
+/// Time for which a request that lacked capacity is remembered after it was last reported.
 const RECENT_REQUEST_TIMEOUT: Micros = Micros::from_millis(180_000);
 
 #[derive(Debug)]
 struct ExpectedMachines {
     partition: PartitionId,
     expires_at: Micros,
-    /// Of each machine.
+    /// Capacity of each machine.
     capacity: Resources,
     count: u32,
 }
 
-/// Capacity that the owners' reports don't show yet, by the scale-out that brings it.
+/// Capacity that the owners' reports do not include yet, by the name of the scale-out that
+/// provides it.
 #[derive(Default)]
 pub(super) struct PendingCapacity {
     by_scale_out: BTreeMap<String, ExpectedMachines>,
 }
 
 impl PendingCapacity {
-    /// Counts `count` machines of this capacity for a partition from now on.
-    pub(super) fn expect(
+    /// Adds `count` machines of this capacity for a partition, requested at `now` by the scale-out
+    /// `name`.
+    pub(super) fn add(
         &mut self,
         now: Micros,
         name: String,
@@ -49,7 +52,7 @@
         self.by_scale_out.insert(name, expected);
     }
 
-    /// The cloud has confirmed so many of a scale-out's machines.
+    /// Records that the cloud has confirmed `count` machines of a scale-out.
     pub(super) fn confirm(&mut self, now: Micros, name: &str, count: u32) {
         if let Some(expected) = self.by_scale_out.get_mut(name) {
             expected.count = count;
@@ -57,18 +60,19 @@
         }
     }
 
-    /// Nothing comes of a scale-out.
+    /// Removes the machines of a scale-out that the cloud refused.
     pub(super) fn cancel(&mut self, name: &str) {
         self.by_scale_out.remove(name);
     }
 
-    /// Forgets what the reports must show by now.
+    /// Removes the machines that the owners' reports include by now, or that the cloud has not
+    /// confirmed in time.
     pub(super) fn expire(&mut self, now: Micros) {
         self.by_scale_out
             .retain(|_, expected| expected.expires_at > now);
     }
 
-    /// The capacity of each machine that is under way for a partition.
+    /// Returns the capacity of each pending machine of a partition.
     pub(super) fn of_partition(&self, partition: PartitionId) -> Vec<Resources> {
         self.by_scale_out
             .values()
@@ -83,18 +87,18 @@
     last_reported_at: Micros,
 }
 
-/// What tasks requested that lacked room lately.
+/// Resources per task of the requests that recently lacked capacity.
 #[derive(Default)]
 pub(super) struct RecentRequests(Vec<RecentRequest>);
 
 impl RecentRequests {
-    /// Forgets what has not been reported for long.
+    /// Removes the requests that have not been reported within their timeout.
     pub(super) fn expire(&mut self, now: Micros) {
         self.0
             .retain(|recent| now.since(recent.last_reported_at) < RECENT_REQUEST_TIMEOUT);
     }
 
-    /// Remembers a request that lacks room now.
+    /// Records a request that lacks capacity at `now`.
     pub(super) fn note(&mut self, now: Micros, request: Resources) {
         match self.0.iter_mut().find(|recent| recent.request == request) {
             Some(recent) => recent.last_reported_at = now,
@@ -105,7 +109,7 @@
         }
     }
 
-    /// Whether one of them fits in `larger` but not in `smaller`.
+    /// Returns whether a task of any of the requests fits in `larger` but not in `smaller`.
     pub(super) fn any_needs(&self, larger: &Resources, smaller: &Resources) -> bool {
         self.0
             .iter()
--- a/src/autoscaler/releases.rs
+++ b/src/autoscaler/releases.rs
@@ -1,4 +1,4 @@
-//! Which machines are released to the cloud, and the requests that release them.
+//! Release of machines to the cloud: the decision which machines to release, and the requests.
 
 use super::instance_list::InstanceList;
 use super::{FleetSnapshot, PARTITION_STATE_MAX_AGE};
@@ -11,33 +11,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Machines released by one request.
+/// Maximum number of machines released by one request.
 const MAX_MACHINES_PER_REQUEST: usize = 100;
 
-/// How long to wait after a request that the cloud did not confirm.
+/// Delay before a release that the cloud did not confirm is requested again.
 const RETRY_INTERVAL: Micros = Micros::from_millis(1_000);
 
-/// How long an instance of an unknown type usually takes to boot, in seconds.
+/// Usual boot time of an instance whose type is unknown, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
-/// An instance is released that takes this many times as long to boot as usual …
+/// Multiple of the usual boot time after which a booting instance is released, with
+/// `BOOT_TIMEOUT_MARGIN_S` added.
 const BOOT_TIMEOUT_FACTOR: f64 = 2.5;
 
-/// … and this long in addition, in seconds.
+/// Time added to the multiple of the usual boot time, in seconds.
 const BOOT_TIMEOUT_MARGIN_S: f64 = 10.0;
 
-/// Why a machine is released.
+/// Reason for which a machine is released.
 #[derive(Debug, Clone, Copy)]
 enum ReleaseCause {
-    /// Its owner has released it, idle.
+    /// The machine was idle, and its owner has released it.
     Idle,
-    /// Its owner reports that it is silent or fails tasks.
+    /// The machine's owner reports that it is silent or fails tasks. A silent machine sends no
+    /// heartbeats.
     SilentOrFailing,
-    /// The cloud lists it no more: most likely it took a spot instance back.
+    /// The cloud no longer lists the machine. Most likely it was a preempted spot instance.
     NotListed,
-    /// The cloud lists it as failed.
+    /// The cloud lists the machine as failed.
     Failed,
-    /// It may never come up, and is charged all the while.
+    /// The machine has not booted in time. It may never boot, and it is charged while it boots.
     BootTimeout,
 }
 
@@ -53,28 +55,29 @@
     }
 }
 
-/// The machines that each partition's owner wants released, by reports that are recent and made
-/// under the owner's present term.
+/// The machines that each partition's owner reports for release. Only recent reports under the
+/// owner's current term are included.
 type ReportedMachines<'a> = BTreeMap<PartitionId, BTreeSet<&'a MachineId>>;
 
 /// The machines that are being released.
 #[derive(Default)]
 pub(super) struct Releases {
-    /// When each is to be requested, for the first time or again.
+    /// The machines, with the time at which the release of each is due to be requested, for the
+    /// first time or again.
     due: BTreeMap<MachineId, Micros>,
-    /// Of them, those that are silent or failing, as their owner reported.
-    silent: BTreeSet<MachineId>,
-    /// The machines of the request in flight; none: no request is.
+    /// Those of the machines that their owners reported as silent or failing.
+    silent_or_failing: BTreeSet<MachineId>,
+    /// Machines of the request in flight. Empty if no request is in flight.
     in_flight: Vec<MachineId>,
 }
 
 impl Releases {
-    /// Whether a machine is being released.
+    /// Returns whether a machine is being released.
     pub(super) fn contains(&self, id: &MachineId) -> bool {
         self.due.contains_key(id)
     }
 
-    /// Finds the machines that are to be released, and those that no longer are.
+    /// Adds the machines that have to be released, and removes those that have recovered.
     pub(super) fn scan(
         &mut self,
         now: Micros,
@@ -85,7 +88,8 @@
         self.withdraw_recovered(fleet.cache, &reported);
         self.add_recorded(now, fleet.cache, &reported, instances);
         for id in instances.lost() {
-            // That all on it is lost, only the reply to the release says.
+            // The machine stays recorded until its release is confirmed: only that reply shows
+            // that nothing runs on it any more.
             if fleet.cache.machine(id).is_some() {
                 self.add(now, id, ReleaseCause::NotListed, instances);
             }
@@ -97,7 +101,7 @@
         }
     }
 
-    /// Adds recorded machines that their owners have released or report as silent or failing.
+    /// Adds the recorded machines that their owners have released or report as silent or failing.
     fn add_recorded(
         &mut self,
         now: Micros,
@@ -112,13 +116,13 @@
             let is_reported = reported
                 .get(&partition)
                 .is_some_and(|machines| machines.contains(id));
-            // What still boots is not silent.
+            // A booting machine is not expected to send heartbeats yet.
             let is_booting = instances
                 .get(id)
                 .is_some_and(|instance| instance.state == InstanceState::Booting);
             if is_reported && !is_booting {
                 self.add(now, id, ReleaseCause::SilentOrFailing, instances);
-                self.silent.insert(id.clone());
+                self.silent_or_failing.insert(id.clone());
             }
         }
     }
@@ -130,11 +134,13 @@
         }
     }
 
-    /// Guards against releasing machines that recovered while the cloud was unreachable: hung
-    /// or isolated by the hundred, they were to be released for a reason that had ended.
+    /// Removes the machines that their owners no longer report as silent or failing, unless a
+    /// request for their release is in flight. Guards against the release of machines that recovered while
+    /// the cloud was unreachable: hundreds of machines that had hung or been isolated were due for
+    /// release although they worked again.
     fn withdraw_recovered(&mut self, cache: &WatchCache, reported: &ReportedMachines<'_>) {
         let (due, in_flight) = (&mut self.due, &self.in_flight);
-        self.silent.retain(|id| {
+        self.silent_or_failing.retain(|id| {
             let is_waiting = due.contains_key(id) && !in_flight.contains(id);
             let has_recovered = cache
                 .machine(id)
@@ -148,7 +154,8 @@
         });
     }
 
-    /// The request for the machines that are due, one request at a time.
+    /// Returns the request that releases the machines that are due, or `None` if no machine is due
+    /// or a request is in flight.
     pub(super) fn next_request(&mut self, now: Micros) -> Option<CloudRequest> {
         if !self.in_flight.is_empty() {
             return None;
@@ -159,7 +166,8 @@
         (!self.in_flight.is_empty()).then(|| CloudRequest::Release(self.in_flight.clone()))
     }
 
-    /// Takes in whether the cloud confirmed a request. What it did not is requested again.
+    /// Handles the reply to a request. `is_released` is whether the cloud confirmed the release;
+    /// otherwise, the machines are requested again.
     pub(super) fn handle_reply(&mut self, now: Micros, machines: &[MachineId], is_released: bool) {
         self.in_flight.clear();
         for id in machines {
@@ -188,7 +196,7 @@
         .collect()
 }
 
-/// Why an instance is to be released by what the cloud lists of it.
+/// Returns the reason to release an instance that its listed state gives, or `None`.
 fn listed_cause(fleet: &FleetSnapshot<'_>, instance: &CloudMachine) -> Option<ReleaseCause> {
     match instance.state {
         InstanceState::Failed => Some(ReleaseCause::Failed),
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -1,4 +1,5 @@
-//! How many machines of which offer are scaled out for the room that waiting work lacks.
+//! Planning of scale-outs: how many machines of which offer are scaled out for the capacity that
+//! waiting tasks lack.
 
 use super::offers::{MachineCounts, Offer, OfferSearch};
 use super::scale_outs::ScaleOuts;
@@ -10,20 +11,21 @@
 use crate::placement::CapacityRequest;
 use zone_failover::leader::ScaleOutAccess;
 
-/// Scale-outs under way at a time.
+/// Maximum number of scale-outs in progress at a time.
 const MAX_IN_PROGRESS: usize = 6;
 
-/// The cloud takes no more machines in one request.
+/// Maximum number of machines that the cloud accepts in one request.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
-/// Machines in a request that probes a zone's health.
+/// Number of machines in a request that probes a zone's health.
 const MACHINES_PER_PROBE: u32 = 1;
 
-/// An ordinary instance costs several times as much as a spot instance: tasks are worth as many
-/// of them as if their run time counted up to this many times the policy's horizon.
+/// Factor on the policy's scale-out horizon for on-demand instances. Tasks that run for less than
+/// the horizon get capacity in proportion to their run time. An on-demand instance costs several
+/// times as much as a spot instance, so its horizon is longer.
 const ON_DEMAND_HORIZON_FACTOR: f64 = 3.0;
 
-/// What is to be scaled out for one capacity request.
+/// Machines to scale out for one capacity request, and the tasks that they are for.
 struct ScaleOutPlan<'a> {
     offer: Offer<'a>,
     machines: u32,
@@ -36,8 +38,8 @@
         self.offer.machine_type.capacity()
     }
 
-    /// What the planned tasks leave free of each machine.
-    fn remaining_rooms(&self, task: &Resources) -> impl Iterator<Item = Resources> {
+    /// Returns the capacity that the planned tasks leave free on each machine.
+    fn remaining_capacity(&self, task: &Resources) -> impl Iterator<Item = Resources> {
         let (tasks, per_machine) = (self.tasks, self.tasks_per_machine);
         (0..self.machines).map(move |index| {
             let placed = (index * per_machine).min(tasks);
@@ -58,8 +60,8 @@
 }
 
 impl ScaleOuts {
-    /// Begins scale-outs for the capacity requests of all partitions, as many as may be under
-    /// way.
+    /// Begins scale-outs for the capacity requests of all partitions, up to the maximum number in
+    /// progress.
     pub(super) fn request_capacity(
         &mut self,
         now: Micros,
@@ -81,11 +83,11 @@
             if now.since(state.received_at) > PARTITION_STATE_MAX_AGE {
                 continue;
             }
-            // What is under way serves the requests in their order; so does what is left of a
-            // machine that is scaled out for one of them.
-            let mut rooms = self.pending_capacity.of_partition(*partition);
+            // Pending machines serve the requests in their order. So does the capacity that
+            // remains on the machines scaled out for an earlier request.
+            let mut free_capacity = self.pending_capacity.of_partition(*partition);
             for request in &state.capacity_requests {
-                let unserved = serve_from(&mut rooms, request);
+                let unserved = serve_from(&mut free_capacity, request);
                 if unserved == 0 || budget == 0 {
                     continue;
                 }
@@ -93,14 +95,15 @@
                     continue;
                 };
                 budget -= 1;
-                rooms.extend(plan.remaining_rooms(&request.request));
+                free_capacity.extend(plan.remaining_capacity(&request.request));
                 let record = plan.record(*partition);
                 effects.push(self.begin(now, fleet.leader, record, plan.capacity()));
             }
         }
     }
 
-    /// What to scale out for so many tasks of a request; nothing if no offer can be used.
+    /// Returns the machines to scale out for `unserved` tasks of a request, or `None` if no offer
+    /// can be used or the tasks do not justify a machine.
     fn plan<'a>(
         &self,
         search: &OfferSearch<'a>,
@@ -111,7 +114,7 @@
         let tasks = if offer.spot {
             unserved
         } else {
-            self.worth_on_demand(unserved, request.estimated_run_time_s)
+            self.tasks_worth_on_demand(unserved, request.estimated_run_time_s)
         };
         let capacity = offer.machine_type.capacity();
         let tasks_per_machine = request.request.times_in(&capacity).max(1);
@@ -129,9 +132,11 @@
         })
     }
 
-    /// For how many of these tasks ordinary instances are worth their price: work that ends
-    /// soon by itself is worth fewer of them.
-    fn worth_on_demand(&self, tasks: u32, run_time_s: f64) -> u32 {
+    /// Returns for how many of `tasks` on-demand instances are worth their price: short tasks free
+    /// their machines soon and justify fewer of them. The owner has already reduced `tasks` to the
+    /// share by the policy's horizon; the result is the share by the longer horizon for on-demand
+    /// instances.
+    fn tasks_worth_on_demand(&self, tasks: u32, run_time_s: f64) -> u32 {
         let share = |horizon_s: f64| (run_time_s / horizon_s).min(1.0);
         let horizon_s = self.horizon.as_secs();
         let worth =
@@ -140,12 +145,13 @@
     }
 }
 
-/// Takes the room that serves a request; returns for how many of its tasks there is none.
-fn serve_from(rooms: &mut [Resources], request: &CapacityRequest) -> u32 {
+/// Takes free capacity of machines for the tasks of a request. Returns the number of tasks for
+/// which the capacity does not suffice.
+fn serve_from(free_capacity: &mut [Resources], request: &CapacityRequest) -> u32 {
     let mut unserved = request.count;
-    for room in rooms {
-        let tasks = request.request.times_in(room).min(unserved);
-        *room -= request.request.scale(f64::from(tasks));
+    for free in free_capacity {
+        let tasks = request.request.times_in(free).min(unserved);
+        *free -= request.request.scale(f64::from(tasks));
         unserved -= tasks;
     }
     unserved
--- a/src/autoscaler/scale_outs.rs
+++ b/src/autoscaler/scale_outs.rs
@@ -1,6 +1,7 @@
-//! The scale-outs of one leadership, from their record's write to that of their machines.
+//! The scale-outs of one leadership, from the write of their records to the write of their
+//! machines.
 
-use super::offers::{InstanceOffer, OfferBackoff};
+use super::offers::{OfferBackoff, OfferKey};
 use super::pending_capacity::{PendingCapacity, RecentRequests};
 use super::{Effect, FleetSnapshot, Write};
 use crate::clock::Micros;
@@ -12,23 +13,24 @@
 use crate::watch_cache::WatchCache;
 use std::collections::BTreeMap;
 
-/// How long to wait before a request is repeated whose outcome is unknown.
+/// Delay before a request whose outcome is unknown is repeated.
 const RETRY_INTERVAL: Micros = Micros::from_millis(1_500);
 
-/// How far a scale-out is.
+/// Progress of a scale-out.
 #[derive(Debug)]
 enum ScaleOutState {
-    /// The write of its record is in flight.
+    /// The write of the scale-out's record is in flight.
     Recording,
-    /// Recorded: the cloud is to get the request, for the first time or again, from then on.
+    /// The scale-out is recorded. Its request to the cloud is due at this time, for the first time
+    /// or again.
     RequestDue(Micros),
-    /// The request is in flight.
+    /// The request to the cloud is in flight.
     Requested,
-    /// The cloud has scaled these out; they are yet to be recorded.
+    /// The cloud has scaled out these machines. They are not recorded yet.
     ScaledOut(Vec<MachineId>),
-    /// The cloud has refused it; its record is yet to be deleted.
+    /// The cloud has refused the scale-out. Its record is not deleted yet.
     Refused,
-    /// The deletion of its record is in flight.
+    /// The deletion of the scale-out's record is in flight.
     Deleting,
 }
 
@@ -44,21 +46,22 @@
     }
 }
 
-/// A scale-out whose machines are yet to be recorded.
+/// A scale-out that the cloud has completed and whose machines are not recorded yet.
 pub(super) struct CompletedScaleOut<'a> {
     pub(super) name: &'a String,
     pub(super) record: &'a ScaleOutRecord,
     pub(super) machines: &'a [MachineId],
 }
 
-/// The scale-outs under way, and what is remembered to decide on further ones.
+/// The scale-outs in progress, and the state on which decisions about further ones are based.
 pub(super) struct ScaleOuts {
-    /// For how long machines are scaled out, by the policy.
+    /// The policy's scale-out horizon. Tasks with a shorter run time get capacity in proportion to
+    /// their run time.
     pub(super) horizon: Micros,
-    /// The leadership that this state belongs to, by the leader key's revision.
+    /// Leadership to which this state belongs, identified by the revision of the leader's key.
     leader_revision: Revision,
-    /// Scale-outs that were named so far. It is not reset with the leadership.
-    names_given: u64,
+    /// Number of names allocated to scale-outs so far. A new leadership does not reset it.
+    names_allocated: u64,
     by_name: BTreeMap<String, ScaleOut>,
     pub(super) backoff: OfferBackoff,
     pub(super) pending_capacity: PendingCapacity,
@@ -66,12 +69,12 @@
 }
 
 impl ScaleOuts {
-    /// Nothing under way, before the first leadership.
+    /// Creates the state before the first leadership, without scale-outs.
     pub(super) fn new(horizon: Micros) -> Self {
         ScaleOuts {
             horizon,
             leader_revision: Revision(0),
-            names_given: 0,
+            names_allocated: 0,
             by_name: BTreeMap::new(),
             backoff: OfferBackoff::default(),
             pending_capacity: PendingCapacity::default(),
@@ -79,37 +82,37 @@
         }
     }
 
-    /// Nothing under way, at the start of a leadership.
-    pub(super) fn under_leadership(&self, leader_revision: Revision) -> Self {
+    /// Returns the state at the start of a leadership, without scale-outs.
+    pub(super) fn for_leadership(&self, leader_revision: Revision) -> Self {
         ScaleOuts {
             leader_revision,
-            names_given: self.names_given,
+            names_allocated: self.names_allocated,
             ..ScaleOuts::new(self.horizon)
         }
     }
 
-    /// The leadership that this state belongs to, by the leader key's revision.
+    /// Returns the leadership to which this state belongs, as the revision of the leader's key.
     pub(super) fn leader_revision(&self) -> Revision {
         self.leader_revision
     }
 
-    /// How many are under way. Refused ones are not.
+    /// Returns the number of scale-outs in progress. Refused ones are not included.
     pub(super) fn in_progress(&self) -> usize {
         self.records_in_progress().count()
     }
 
-    /// The records of those that are under way.
+    /// Returns the records of the scale-outs in progress. Refused ones are not included.
     pub(super) fn records_in_progress(&self) -> impl Iterator<Item = &ScaleOutRecord> {
         let in_progress = self.by_name.values().filter(|entry| !entry.is_refused());
         in_progress.map(|entry| &entry.record)
     }
 
-    /// Whether any scale-out in a zone is known, be it refused.
-    pub(super) fn is_any_in(&self, zone: &str) -> bool {
+    /// Returns whether there is a scale-out in a zone, refused ones included.
+    pub(super) fn has_scale_out_in(&self, zone: &str) -> bool {
         self.by_name.values().any(|entry| entry.record.zone == zone)
     }
 
-    /// Those whose machines are yet to be recorded.
+    /// Returns the scale-outs that the cloud has completed and whose machines are not recorded yet.
     pub(super) fn completed(&self) -> impl Iterator<Item = CompletedScaleOut<'_>> {
         self.by_name
             .iter()
@@ -123,7 +126,8 @@
             })
     }
 
-    /// Scale-outs that an earlier leader recorded are repeated under their names.
+    /// Adopts the scale-outs that an earlier leader recorded. They are requested again under the
+    /// same names.
     pub(super) fn adopt_recorded(&mut self, now: Micros, cache: &WatchCache) {
         for (name, Versioned { record, .. }) in &cache.scale_outs {
             self.by_name
@@ -135,7 +139,8 @@
         }
     }
 
-    /// Remembers what lacks room now, and forgets what did long ago.
+    /// Records the requests that lack capacity now, and removes expired requests and expired
+    /// pending capacity.
     pub(super) fn note_capacity_requests(
         &mut self,
         now: Micros,
@@ -149,7 +154,7 @@
         }
     }
 
-    /// Sends the requests that are due, and deletes the records of those refused.
+    /// Sends the requests that are due, and deletes the records of refused scale-outs.
     pub(super) fn advance(
         &mut self,
         now: Micros,
@@ -166,7 +171,7 @@
                     entry.state = ScaleOutState::Requested;
                 }
                 ScaleOutState::Refused => {
-                    // Only if it is recorded; else there is nothing to delete.
+                    // Without a record in the cache, there is nothing to delete.
                     if let Some(Versioned { revision, .. }) = fleet.cache.scale_outs.get(name) {
                         entry.state = ScaleOutState::Deleting;
                         effects.push(deletion(fleet.leader, name, *revision));
@@ -177,7 +182,8 @@
         }
     }
 
-    /// Begins a scale-out: it is recorded before the cloud gets the request.
+    /// Begins a scale-out. Returns the write that records it. The request is sent to the cloud only
+    /// after that write is committed.
     pub(super) fn begin(
         &mut self,
         now: Micros,
@@ -185,9 +191,9 @@
         record: ScaleOutRecord,
         capacity: Resources,
     ) -> Effect {
-        self.names_given += 1;
-        // The leadership's revision is never reused, so neither is the name.
-        let name = format!("r-{}-{}", self.leader_revision, self.names_given);
+        self.names_allocated += 1;
+        // The revision that identifies a leadership is never reused, so the name is not either.
+        let name = format!("r-{}-{}", self.leader_revision, self.names_allocated);
         tracing::info!(
             scale_out = %name,
             partition = %record.partition,
@@ -199,7 +205,7 @@
         );
         let (partition, count) = (record.partition, record.count);
         self.pending_capacity
-            .expect(now, name.clone(), partition, capacity, count);
+            .add(now, name.clone(), partition, capacity, count);
         let entry = ScaleOut {
             record: record.clone(),
             state: ScaleOutState::Recording,
@@ -213,7 +219,7 @@
         }
     }
 
-    /// Takes in the cloud's reply to a request.
+    /// Handles the cloud's reply to a request. A reply to an unknown scale-out is ignored.
     pub(super) fn handle_cloud_reply(
         &mut self,
         now: Micros,
@@ -224,7 +230,7 @@
         let Some(entry) = self.by_name.get_mut(name) else {
             return;
         };
-        let offer = InstanceOffer::from(record);
+        let offer = OfferKey::from(record);
         entry.state = match reply {
             CloudReply::ScaledOut(machines) => {
                 let count = machines.len() as u32;
@@ -242,23 +248,24 @@
                 self.pending_capacity.cancel(name);
                 ScaleOutState::Refused
             }
-            // It may have been carried out: only the same name may be requested again.
+            // The cloud may have carried the request out. Only a request under the same name is
+            // safe to repeat.
             _ => ScaleOutState::RequestDue(now + RETRY_INTERVAL),
         };
     }
 
-    /// Takes in the store's reply to the write of a record.
+    /// Handles the store's reply to the write of a record.
     pub(super) fn handle_record_reply(&mut self, now: Micros, name: &str, reply: &Reply) {
         if !matches!(reply, Reply::Committed(_)) {
-            // The cloud got no request under this name. Should the record still be written,
-            // it is found and carried out then.
+            // The cloud has received no request under this name. If the store carries the write
+            // out later, the scale-out is adopted from the cache and requested then.
             self.by_name.remove(name);
         } else if let Some(entry) = self.by_name.get_mut(name) {
             entry.state = ScaleOutState::RequestDue(now);
         }
     }
 
-    /// Takes in the store's reply to the deletion of a record.
+    /// Handles the store's reply to the deletion of a record.
     pub(super) fn handle_delete_reply(&mut self, name: &str, reply: &Reply) {
         if matches!(reply, Reply::Committed(_)) {
             self.by_name.remove(name);
@@ -267,7 +274,7 @@
         }
     }
 
-    /// All machines of these are recorded, and their own records deleted.
+    /// Removes scale-outs whose machines are all recorded and whose records are deleted.
     pub(super) fn complete(&mut self, names: &[String]) {
         for name in names {
             self.by_name.remove(name);
--- a/src/autoscaler/shard_transaction.rs
+++ b/src/autoscaler/shard_transaction.rs
@@ -1,4 +1,4 @@
-//! The shards that one transaction changes, within what a transaction and a value may hold.
+//! The shards that one transaction changes, within the limits on transactions and values.
 
 use super::shard_writes::WriteLimits;
 use crate::ids::{MachineId, PartitionId};
@@ -7,13 +7,14 @@
 use crate::watch_cache::WatchCache;
 use std::collections::BTreeMap;
 
-/// A shard: its partition, and its number within it.
+/// Key of a shard: its partition and its number within the partition.
 pub(super) type ShardKey = (PartitionId, u32);
 
-/// Mutations that are kept free for the term's key.
+/// Number of mutations that are reserved for the write of the term record.
 const MUTATIONS_FOR_TERM: usize = 1;
 
-/// The changed shards. `other_mutations` are those that the transaction holds beside them.
+/// The changed shards. In the methods, `other_mutations` is the number of mutations that the
+/// transaction contains in addition to those of shards.
 pub(super) struct ShardTransaction<'a> {
     cache: &'a WatchCache,
     limits: WriteLimits,
@@ -21,7 +22,7 @@
 }
 
 impl<'a> ShardTransaction<'a> {
-    /// Nothing changed yet.
+    /// Creates a transaction without changes.
     pub(super) fn new(cache: &'a WatchCache, limits: WriteLimits) -> Self {
         ShardTransaction {
             cache,
@@ -30,19 +31,19 @@
         }
     }
 
-    /// The changed shards, in order.
+    /// Returns the changed shards, in the order of their keys.
     pub(super) fn into_shards(self) -> BTreeMap<ShardKey, ShardRecord> {
         self.shards
     }
 
-    /// Whether no further shard can be changed.
+    /// Returns whether no further shard can be changed.
     pub(super) fn is_full(&self, other_mutations: usize) -> bool {
         let bytes: usize = self.shards.values().map(ShardRecord::estimated_size).sum();
         let mutations = self.shards.len() + other_mutations + MUTATIONS_FOR_TERM;
         mutations >= self.limits.max_mutations || bytes > MAX_TRANSACTION_BYTES
     }
 
-    /// The shard as it is changed; nothing if it cannot be changed in this transaction.
+    /// Returns the shard with its changes so far, or `None` if this transaction cannot change it.
     fn shard(&mut self, key: ShardKey, other_mutations: usize) -> Option<&mut ShardRecord> {
         if !self.shards.contains_key(&key) {
             let recorded = self
@@ -50,7 +51,7 @@
                 .machine_shards
                 .get(&key)
                 .map(|Versioned { record: shard, .. }| shard);
-            // One that is too large to be written is split first, in a write of its own.
+            // A shard that is too large to be written has to be split first, by another write.
             let is_oversize =
                 recorded.is_some_and(|shard| shard.is_oversize(self.limits.max_value_bytes));
             if is_oversize || self.is_full(other_mutations) {
@@ -74,8 +75,8 @@
         shard.is_none_or(|shard| shard.has_room(machine, self.limits.max_value_bytes))
     }
 
-    /// Inserts a machine into the partition's first shard with room, or a new one. Returns
-    /// whether the transaction had room.
+    /// Inserts a machine into the partition's first shard with room, or into a new shard. Returns
+    /// false if the transaction has no room for the change.
     pub(super) fn insert(
         &mut self,
         partition: PartitionId,
@@ -94,8 +95,8 @@
         true
     }
 
-    /// Removes a machine from its shard. Returns whether it was there and the transaction had
-    /// room.
+    /// Removes a machine from its shard. Returns false if the transaction has no room for the
+    /// change or the shard lacks the machine.
     pub(super) fn remove(&mut self, key: ShardKey, id: &MachineId, other_mutations: usize) -> bool {
         let shard = self.shard(key, other_mutations);
         shard.is_some_and(|shard| shard.0.remove(id).is_some())
--- a/src/autoscaler/shard_update.rs
+++ b/src/autoscaler/shard_update.rs
@@ -1,9 +1,11 @@
-//! One write of machines' shards, put together step by step: machines that were scaled out are
-//! recorded, those released are removed, unrecorded ones adopted, and moved ones passed on.
+//! One write of machine shards, composed in steps: scaled-out machines are recorded, released
+//! ones are removed, unrecorded ones are adopted, and moved ones are recorded in their new
+//! partition.
 //!
-//! It takes as much as a transaction holds; the rest follows in the next. A crash in between
-//! loses nothing: a scale-out's record goes only with the last of its machines, and a successor
-//! repeats it.
+//! A write contains as many changes as fit in a transaction. The other changes follow in later
+//! writes. A crash between two writes loses no machine: the record of a scale-out is deleted only
+//! by the write that records its last machine, and until then the next leader repeats the
+//! scale-out.
 
 use super::instance_list::InstanceList;
 use super::partition_balancer::PartitionBalancer;
@@ -19,23 +21,23 @@
 use crate::watch_cache::WatchCache;
 use std::collections::BTreeSet;
 
-/// A write of shards that is being put together.
+/// A write of shards that is being composed.
 pub(super) struct ShardUpdate<'a> {
     cache: &'a WatchCache,
     leader: &'a Compare,
     shards: ShardTransaction<'a>,
     balancer: PartitionBalancer<'a>,
-    /// Gets what belongs to no known partition.
+    /// Partition for machines that belong to no known partition.
     fallback_partition: PartitionId,
     completed_scale_outs: Vec<String>,
-    /// The next term, and the write that takes it.
+    /// Allocation of the next term.
     next_term: TermAllocation,
-    /// Whether a moved machine was recorded under the new term.
+    /// Whether a moved machine is recorded under the next term.
     is_term_used: bool,
 }
 
 impl<'a> ShardUpdate<'a> {
-    /// An empty update; nothing as long as there are no partitions.
+    /// Creates an update without changes. Returns `None` if no partition has an owner record.
     pub(super) fn new(fleet: &FleetSnapshot<'a>, limits: WriteLimits) -> Option<Self> {
         let fallback_partition = *fleet.cache.partition_owners.keys().next()?;
         Some(ShardUpdate {
@@ -50,15 +52,16 @@
         })
     }
 
-    /// The mutations beside those of shards: the deletions of completed scale-outs' records.
+    /// Returns the number of mutations other than those of shards: one deletion for the record of
+    /// each completed scale-out.
     fn other_mutations(&self) -> usize {
         self.completed_scale_outs.len()
     }
 
-    /// Records the machines that were scaled out in the partitions that they are for.
+    /// Records scaled-out machines in the partitions that they were requested for.
     pub(super) fn add_scaled_out(&mut self, scale_outs: &ScaleOuts) {
         for scale_out in scale_outs.completed() {
-            // With the deletion of this scale-out's record.
+            // The deletion of this scale-out's record is one more mutation.
             let other_mutations = self.other_mutations() + 1;
             if self.shards.is_full(other_mutations) {
                 break;
@@ -93,7 +96,8 @@
         }
     }
 
-    /// Adopts machines that no scale-out expects: of a late one, or there from the start.
+    /// Adopts unrecorded machines that belong to no known scale-out. They result from a scale-out
+    /// that was carried out late, or have existed from the start.
     pub(super) fn adopt(
         &mut self,
         unrecorded: &BTreeSet<MachineId>,
@@ -120,8 +124,8 @@
         }
     }
 
-    /// Moves machines that their owners released for other partitions: to where they are
-    /// lacking, or back.
+    /// Moves machines that their owners released for other partitions. A machine moves to the
+    /// partition that lacks it most, which may be its own.
     pub(super) fn move_machines(&mut self, moves: &BTreeSet<MachineId>, releases: &Releases) {
         let other_mutations = self.other_mutations();
         for id in moves {
@@ -135,9 +139,9 @@
             let to = self.assign(&machine.machine_type, &machine.zone, machine.spot, from);
             let mut machine = machine.clone();
             machine.release_reason = None;
-            // A term higher than any that an owner of it has used.
+            // This term is higher than any that an owner of the machine has used.
             machine.term = self.next_term.first;
-            // Up to two shards beside the term's key.
+            // A move changes up to two shards, in addition to the term record.
             if self.shards.is_full(other_mutations + 3)
                 || !self.shards.remove(shard, id, other_mutations + 2)
             {
@@ -149,19 +153,19 @@
         }
     }
 
-    /// The partition that gets a machine, or `otherwise` if its type is unknown.
+    /// Returns the partition that a machine is assigned to, or `fallback` if its type is unknown.
     fn assign(
         &mut self,
         machine_type: &str,
         zone: &str,
         spot: bool,
-        otherwise: PartitionId,
+        fallback: PartitionId,
     ) -> PartitionId {
         let partition = self.balancer.assign(machine_type, zone, spot);
-        partition.unwrap_or(otherwise)
+        partition.unwrap_or(fallback)
     }
 
-    /// The write; nothing if it would change nothing.
+    /// Returns the write, or `None` if it would change nothing.
     pub(super) fn into_effect(self) -> Option<Effect> {
         let mut compares = vec![self.leader.clone(), self.next_term.compare];
         let mut mutations: Vec<Mutation> = self
--- a/src/autoscaler/shard_writes.rs
+++ b/src/autoscaler/shard_writes.rs
@@ -1,4 +1,7 @@
-//! The writes of machines' shards, one at a time: which is due, and what its reply means.
+//! The sequence of writes of machine shards: which write is due, and what its reply means.
+//!
+//! At most one write is in flight. The next write waits until the cache shows the last one. After
+//! a write of machines without a reply, it also waits until a fence is committed.
 
 use super::instance_list::InstanceList;
 use super::releases::Releases;
@@ -14,68 +17,71 @@
 use crate::watch_cache::WatchCache;
 use std::collections::BTreeSet;
 
-/// Shards are split no faster than this: other writes need the budget, too.
+/// Minimum interval between two splits of shards. Other writes need a part of the store's write
+/// rate, too.
 const SPLIT_INTERVAL: Micros = Micros::from_millis(1_200);
 
-/// What one write to the store may hold.
+/// Limits on one write to the store.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WriteLimits {
-    /// Mutations of one transaction.
+    /// Maximum number of mutations in a transaction.
     pub(super) max_mutations: usize,
-    /// Size of one value, in bytes.
+    /// Maximum size of a value, in bytes.
     pub(super) max_value_bytes: usize,
 }
 
-/// Which write of shards is in flight, or due before any other.
+/// State of the sequence of writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum WritePhase {
-    /// None: the next may go out.
+    /// No write is in flight, and the next one may be sent.
     Idle,
-    /// Of machines, or of a shard in parts.
+    /// A write of machines or the split of a shard is in flight.
     Writing,
-    /// A write of machines had no reply: it may still be carried out, so a fence is due.
+    /// A write of machines had no reply. The store may still carry it out, so a fence is due
+    /// before any other write.
     FenceDue,
-    /// The fence is in flight.
+    /// A fence is in flight.
     Fencing,
 }
 
-/// The writes of machines' shards.
+/// The writes of machine shards.
 pub(super) struct ShardWrites {
     limits: WriteLimits,
     phase: WritePhase,
-    /// The cache must have reached this before the next write.
-    visible_from: Revision,
+    /// Revision that the cache must have reached before the next write.
+    required_revision: Revision,
     last_split_at: Micros,
-    /// Released by an owner, for another partition.
+    /// Machines that their owners released for another partition.
     moves: BTreeSet<MachineId>,
-    /// Listed by the cloud, but recorded nowhere.
+    /// Machines that the cloud lists, but that no shard contains.
     unrecorded: BTreeSet<MachineId>,
 }
 
 impl ShardWrites {
-    /// No write in flight.
+    /// Creates the state at the start of a leadership, without a write in flight.
     pub(super) fn new(limits: WriteLimits) -> Self {
         ShardWrites {
             limits,
             phase: WritePhase::Idle,
-            visible_from: Revision(0),
+            required_revision: Revision(0),
             last_split_at: Micros::ZERO,
             moves: BTreeSet::new(),
             unrecorded: BTreeSet::new(),
         }
     }
 
-    /// Whether a cache of this revision shows all writes that were committed.
+    /// Returns whether a cache at this revision shows all committed writes.
     pub(super) fn are_visible_at(&self, applied_revision: Revision) -> bool {
-        applied_revision >= self.visible_from
+        applied_revision >= self.required_revision
     }
 
-    /// The cache must have reached this revision, too, before the next write.
+    /// Delays the next write until the cache has reached `revision`.
     pub(super) fn wait_for(&mut self, revision: Revision) {
-        self.visible_from = self.visible_from.max(revision);
+        self.required_revision = self.required_revision.max(revision);
     }
 
-    /// Finds what owners released for other partitions, and what is listed but recorded nowhere.
+    /// Finds the machines that owners released for other partitions, and the listed machines that
+    /// no shard contains.
     pub(super) fn scan(
         &mut self,
         cache: &WatchCache,
@@ -102,7 +108,7 @@
             .collect();
     }
 
-    /// The next write, if one is due and none is in flight.
+    /// Returns the next write, or `None` if no write is due or one is in flight.
     pub(super) fn next_write(
         &mut self,
         now: Micros,
@@ -132,9 +138,10 @@
         }
     }
 
-    /// Records a shard in parts that an earlier version wrote under a higher limit, before
-    /// that limit falls: then it could be neither changed nor shrunk any more. Should the
-    /// write be carried out late, it fails if any of these shards has changed since.
+    /// Returns the write that splits an oversize shard, which an earlier version wrote under a
+    /// higher limit on values. The shard has to be split before that limit falls: afterwards, it
+    /// could be neither changed nor shrunk. If the store carries the write out late, it fails if
+    /// any of these shards has changed in the meantime.
     fn split_oversize(&mut self, now: Micros, fleet: &FleetSnapshot<'_>) -> Option<Effect> {
         if now.since(self.last_split_at) < SPLIT_INTERVAL {
             return None;
@@ -169,11 +176,11 @@
         self.last_split_at = now;
         tracing::info!(%partition, shard, parts = parts.len(), "shard split");
         let free = fleet.cache.free_shards(partition);
-        let (of_parts, mutations) = write_parts(partition, (shard, revision), parts, free);
+        let (part_compares, mutations) = write_parts(partition, (shard, revision), parts, free);
         let leader = std::iter::once(fleet.leader.clone());
         Some(Effect::CompareAndSwap {
             write: Write::SplitShard,
-            compares: leader.chain(of_parts).collect(),
+            compares: leader.chain(part_compares).collect(),
             mutations,
         })
     }
@@ -193,41 +200,42 @@
         update.into_effect()
     }
 
-    /// Takes in the store's reply to a write of machines.
+    /// Handles the store's reply to a write of machines.
     pub(super) fn handle_machines_reply(&mut self, reply: &Reply) {
         self.phase = match reply {
             Reply::Committed(revision) => {
-                self.visible_from = *revision;
+                self.required_revision = *revision;
                 WritePhase::Idle
             }
-            // Surely not carried out, and it never will be.
+            // The store has not carried the write out and never will.
             Reply::Conflict(_) | Reply::Rejected => WritePhase::Idle,
             _ => WritePhase::FenceDue,
         };
     }
 
-    /// Takes in the store's reply to a fence, which is repeated until it is committed.
+    /// Handles the store's reply to a fence. The fence is repeated until it is committed.
     pub(super) fn handle_fence_reply(&mut self, reply: &Reply) {
         self.phase = WritePhase::FenceDue;
         if let Reply::Committed(revision) = reply {
-            self.visible_from = *revision;
+            self.required_revision = *revision;
             self.phase = WritePhase::Idle;
         }
     }
 
-    /// Takes in the store's reply to a split.
+    /// Handles the store's reply to the split of a shard.
     pub(super) fn handle_split_reply(&mut self, reply: &Reply) {
         self.phase = WritePhase::Idle;
         if let Reply::Committed(revision) = reply {
-            self.visible_from = *revision;
+            self.required_revision = *revision;
         }
     }
 }
 
-/// Takes a term that no owner gets. Guards against a machine in two partitions: a write without
-/// a reply that records it in one could be carried out after the next one has recorded it in
-/// another, since each names only the shards that it changes. All of them name the term's key,
-/// so none is carried out after this.
+/// Returns a write that allocates a term without granting it to an owner. Guards against a machine
+/// that is recorded in two partitions: each write compares only the shards that it changes, so a
+/// write without a reply could record a machine in one partition after the next write has
+/// recorded it in another. All writes of machines also compare the term record. The fence changes
+/// that record, so no earlier write of machines can be carried out after it.
 fn fence(fleet: &FleetSnapshot<'_>) -> Effect {
     let allocated = allocate_terms(fleet.cache, 1);
     Effect::CompareAndSwap {
