--- a/src/autoscaler/offers.rs
+++ b/src/autoscaler/offers.rs
@@ -63,12 +63,12 @@
     refusals: u32,
 }
 
-/// Offers that recently had too few machines, and the time until which each of them is not used.
+/// Offers that are not used for a time because the cloud had too few machines.
 #[derive(Default)]
 pub(super) struct OfferBackoff(BTreeMap<OfferKey, Backoff>);
 
 impl OfferBackoff {
-    fn is_open(&self, now: Micros, offer: &OfferKey) -> bool {
+    fn allows(&self, now: Micros, offer: &OfferKey) -> bool {
         let backoff = self.0.get(offer);
         backoff.is_none_or(|backoff| now >= backoff.until)
     }
@@ -105,7 +105,7 @@
 }
 
 impl Offer<'_> {
-    fn is_of(&self, record: &ScaleOutRecord) -> bool {
+    fn matches(&self, record: &ScaleOutRecord) -> bool {
         record.machine_type == self.machine_type.name
             && record.zone == self.zone
             && record.spot == self.spot
@@ -155,7 +155,7 @@
         MachineCounts(counts)
     }
 
-    fn of(&self, offer: &Offer<'_>, zone: &str) -> usize {
+    fn count_in(&self, offer: &Offer<'_>, zone: &str) -> usize {
         let key = CountKey {
             machine_type: &offer.machine_type.name,
             zone,
@@ -167,9 +167,9 @@
     /// Returns the fraction of the machines of an offer's type and kind that are in its zone.
     fn concentration(&self, offer: &Offer<'_>) -> f64 {
         let all = self
-            .of(offer, ALL_ZONES)
+            .count_in(offer, ALL_ZONES)
             .max(MIN_MACHINES_FOR_CONCENTRATION);
-        self.of(offer, offer.zone) as f64 / all as f64
+        self.count_in(offer, offer.zone) as f64 / all as f64
     }
 }
 
@@ -235,13 +235,16 @@
             zone,
             spot,
         } = *offer;
-        self.backoff.is_open(now, &offer.key())
-            && !self.records_in_progress().any(|record| offer.is_of(record))
+        self.backoff.allows(now, &offer.key())
+            && !self
+                .records_in_progress()
+                .any(|record| offer.matches(record))
             && request.fits(&machine_type.name, zone, spot, &machine_type.capacity())
     }
 
     /// Returns the price per hour and task by which offers are compared. It is the offer's price,
-    /// raised if larger tasks lack such machines and if the zone already has many of them.
+    /// raised if larger tasks lack machines of the type, and raised by the zone's concentration of
+    /// machines of the type and kind.
     fn price_per_task(
         &self,
         search: &OfferSearch<'_>,
@@ -261,9 +264,9 @@
             * (1.0 + CONCENTRATION_SURCHARGE * concentration)
     }
 
-    /// Returns whether tasks that fit on `machine_type`, but not on the smallest type that fits
-    /// `request`, recently lacked capacity. The cloud has a limited number of large machines, and
-    /// small tasks can use other types.
+    /// Returns whether any recent request fits on `machine_type`, but not on the smallest type that
+    /// fits `request`. The cloud has a limited number of large machines, and small tasks can use
+    /// other types.
     fn is_needed_by_larger_tasks(
         &self,
         fleet: &FleetSnapshot<'_>,
--- a/src/autoscaler/partition_balancer.rs
+++ b/src/autoscaler/partition_balancer.rs
@@ -33,8 +33,9 @@
 }
 
 /// Distributes machines over the partitions. A machine is assigned to the partition that lacks
-/// most cores of such machines, by its owner's report and the assignments of this write. If no
-/// partition lacks any, it is assigned to the partition with the fewest cores.
+/// the most cores for tasks that fit on the machine. The lack is computed from the owner's report
+/// and the assignments of this write. If no partition lacks cores, the machine is assigned to the
+/// partition with the fewest cores.
 pub(super) struct PartitionBalancer<'a> {
     fleet: FleetSnapshot<'a>,
     cores_by_partition: BTreeMap<PartitionId, PartitionCores>,
--- a/src/autoscaler/pending_capacity.rs
+++ b/src/autoscaler/pending_capacity.rs
@@ -1,5 +1,5 @@
 //! Capacity beyond the owners' latest reports: machines that are being scaled out, and requests
-//! that recently lacked capacity.
+//! that lacked capacity in earlier reports.
 
 use crate::clock::Micros;
 use crate::fairness::Resources;
@@ -87,7 +87,7 @@
     last_reported_at: Micros,
 }
 
-/// Resources per task of the requests that recently lacked capacity.
+/// Resources per task of the requests that lacked capacity within `RECENT_REQUEST_TIMEOUT`.
 #[derive(Default)]
 pub(super) struct RecentRequests(Vec<RecentRequest>);
 
--- a/src/autoscaler/releases.rs
+++ b/src/autoscaler/releases.rs
@@ -135,9 +135,9 @@
     }
 
     /// Removes the machines that their owners no longer report as silent or failing, unless a
-    /// request for their release is in flight. Guards against the release of machines that recovered while
-    /// the cloud was unreachable: hundreds of machines that had hung or been isolated were due for
-    /// release although they worked again.
+    /// request for their release is in flight. Guards against the release of machines that
+    /// recovered while the cloud was unreachable: hundreds of machines that had hung or been
+    /// isolated were due for release although they worked again.
     fn withdraw_recovered(&mut self, cache: &WatchCache, reported: &ReportedMachines<'_>) {
         let (due, in_flight) = (&mut self.due, &self.in_flight);
         self.silent_or_failing.retain(|id| {
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -1,5 +1,5 @@
 //! The HTTP client of the cloud's interface. It stays below the interface's rate limit at all
-//! times, and sends each request once: whether to repeat one is the caller's decision.
+//! times, and it sends each request once. The caller decides whether to repeat a request.
 
 use super::wire::{self, HttpResponse, ResponseError};
 use super::{CloudMachine, CloudReply, CloudRequest};
@@ -11,14 +11,15 @@
 
 pub(crate) use super::wire::http_request;
 
-/// How long a request may take, from its sending to the whole response.
+/// Timeout of a request, from its sending to the receipt of the whole response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How often the rate limit is tried while it is used up.
+/// Interval between two checks of the rate limit while it is exhausted.
 const RATE_LIMIT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The leader's share of the rate limit. Only the leader sends requests regularly; the other
-/// controllers' few at their start fit into what is left.
+/// Share of the interface's rate limit that the client of a leader uses. Only the leader sends
+/// requests regularly. The few requests that the other controllers send at their start fit into
+/// the remaining share.
 const LEADER_RATE_SHARE: f64 = 0.75;
 
 /// A client of the cloud's interface.
@@ -29,7 +30,7 @@
 }
 
 impl CloudClient {
-    /// A client that stays below a rate limit of `rps` requests per second.
+    /// Creates a client that stays below a rate limit of `rps` requests per second.
     pub fn new(pool: ConnectionPool, clock: MonotonicClock, rps: f64) -> Self {
         let bucket = TokenBucket::new(rps * LEADER_RATE_SHARE, clock.now());
         CloudClient {
@@ -39,8 +40,9 @@
         }
     }
 
-    /// Carries a request out once, as soon as the rate limit allows. A response that says
-    /// nothing of the request, or none, is [`CloudReply::Indeterminate`].
+    /// Executes a request once, as soon as the rate limit allows. Returns
+    /// [`CloudReply::Indeterminate`] if there is no response, or if the response does not show
+    /// whether the request was carried out.
     pub async fn execute(&self, request: &CloudRequest) -> CloudReply {
         self.request(request).await.unwrap_or_else(failure_reply)
     }
@@ -61,7 +63,7 @@
         }
     }
 
-    /// The whole list of instances, page by page.
+    /// Reads the whole list of instances, page by page.
     async fn list_machines(&self) -> Result<Vec<CloudMachine>, ResponseError> {
         let mut machines: Vec<CloudMachine> = Vec::new();
         loop {
@@ -85,7 +87,7 @@
     }
 }
 
-/// The reply to a request whose response brings nothing.
+/// Returns the reply to a request that has no response with a result.
 fn failure_reply(error: ResponseError) -> CloudReply {
     match error {
         ResponseError::NoCapacity => CloudReply::NoCapacity,
--- a/src/cloud/client/tests.rs
+++ b/src/cloud/client/tests.rs
@@ -1,10 +1,15 @@
+//! Tests of the cloud client against an HTTP server with fixed responses. They guard against
+//! changes of the wire format, and against a response that is taken for a definite result although
+//! the outcome of the request is unknown.
+
 use super::*;
 use crate::cloud::{InstanceState, ScaleOutRecord};
 use crate::ids::PartitionId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The first line and the body of a request, once all of it has arrived.
+/// Returns the method, the target and the body of a request, or `None` until all of it has been
+/// received.
 fn complete_request(bytes: &[u8]) -> Option<String> {
     let text = String::from_utf8_lossy(bytes).into_owned();
     let (head, body) = text.split_once("\r\n\r\n")?;
@@ -16,7 +21,7 @@
     (body.len() == length).then(|| format!("{line} {body}").trim_end().to_owned())
 }
 
-/// Reads one request and responds to it.
+/// Reads one request and responds to it. Returns the request.
 async fn respond(stream: &mut TcpStream, status: u16, body: &str) -> String {
     let mut bytes = Vec::new();
     let request = loop {
@@ -32,8 +37,8 @@
     request
 }
 
-/// Executes a request against a cloud that gives these responses: the HTTP requests that it
-/// received, and the client's reply.
+/// Executes a request against a server that sends these responses (status and body). Returns the
+/// HTTP requests that the server received, and the client's reply.
 async fn execute(request: CloudRequest, responses: &[(u16, &str)]) -> (Vec<String>, CloudReply) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await;
     let listener = listener.expect("a port");
@@ -53,6 +58,8 @@
         .await
 }
 
+/// Guards against a machine type with wrong values: a renamed field, a missing optional field, or
+/// an unknown field of a later version of the interface.
 #[tokio::test]
 async fn machine_types_are_parsed_from_their_wire_form() {
     let full = r#"{"name":"big","cores":16.0,"cards":2.0,"memGb":64.0,"cacheGb":50.0,"pullGbPerS":1.5,"price":0.8,"lowPrice":0.3,"readyS":30.0,"yards":["x","y"],"new":1}"#;
@@ -81,6 +88,8 @@
     assert_eq!(reply, CloudReply::Indeterminate);
 }
 
+/// Guards against a list that lacks the instances of later pages, and against an instance whose
+/// unknown state is taken for a known one.
 #[tokio::test]
 async fn the_list_of_instances_is_parsed_page_by_page() {
     let first = r#"{"more":true,"new":1,"rigs":[
@@ -131,6 +140,8 @@
     assert_eq!(reply, CloudReply::Indeterminate, "an unknown state");
 }
 
+/// Guards against a scale-out that is abandoned although the cloud may have carried it out, and
+/// against one that is repeated although the cloud never will.
 #[tokio::test]
 async fn scale_outs_and_releases_keep_their_wire_form() {
     let record = r#"{"block":1,"build":"big","count":12,"spot":true,"zone":"x"}"#;
--- a/src/cloud/instance.rs
+++ b/src/cloud/instance.rs
@@ -3,39 +3,39 @@
 use crate::ids::MachineId;
 use serde::Deserialize;
 
-/// How far an instance is, as the cloud lists it.
+/// State of an instance in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InstanceState {
-    /// Not up yet.
+    /// The instance has not finished booting.
     Booting,
-    /// Up.
+    /// The instance is running.
     Running,
-    /// It stopped by itself.
+    /// The instance has stopped without a release.
     Failed,
 }
 
 /// An instance in the cloud's list.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct CloudMachine {
-    /// The machine's identifier.
+    /// Identifier of the machine.
     pub id: MachineId,
-    /// Where its worker takes direct commands.
+    /// Address at which the machine's worker accepts direct commands, `None` if not assigned yet.
     #[serde(default)]
     pub addr: Option<String>,
-    /// Its type's name.
+    /// Name of the instance's machine type.
     #[serde(rename = "build")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the instance.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether it is a spot instance, which the cloud may take back.
+    /// Whether the instance is a spot instance, which the cloud may preempt.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How far it is.
+    /// State of the instance.
     #[serde(rename = "standing")]
     pub state: InstanceState,
-    /// Seconds since it was scaled out, when the list was made.
+    /// Time from the scale-out of the instance to the creation of the list, in seconds.
     #[serde(rename = "heldS", default)]
     pub age_s: f64,
 }
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -1,9 +1,9 @@
 //! The cloud that machines are scaled out from and released to.
 //!
-//! It owns the terms of the cloud's interface: machine types with their prices, listed
+//! This module owns the types of the cloud's interface: machine types with their prices, listed
 //! instances, requests with their replies, and the record that makes a scale-out repeatable.
-//! [`client`] carries requests out; the forms on the wire are in one private module beside it.
-//! Nothing here decides what to request: that is [`crate::autoscaler`]'s.
+//! [`client`] executes requests, and a private module contains the wire format. The module never
+//! decides what to request. [`crate::autoscaler`] does.
 
 pub mod client;
 mod instance;
--- a/src/cloud/requests.rs
+++ b/src/cloud/requests.rs
@@ -1,5 +1,5 @@
-//! What is requested of the cloud, what it replies, and the record that lets a successor
-//! repeat a scale-out.
+//! Requests to the cloud, its replies, and the record with which a later leader can repeat a
+//! scale-out.
 
 use super::{CloudMachine, MachineType};
 use crate::ids::{MachineId, PartitionId};
@@ -8,53 +8,53 @@
 /// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
-    /// The machine types and their prices.
+    /// Reads the machine types and their prices.
     MachineTypes,
-    /// The whole list of instances, page by page.
+    /// Reads the whole list of instances, page by page.
     Machines,
-    /// New instances. Idempotent: a request repeated under its name scales out once.
+    /// Creates instances. A request that is repeated under the same name creates them only once.
     ScaleOut {
-        /// The name that makes the request idempotent.
+        /// Name that makes the request idempotent.
         name: String,
-        /// What is to be scaled out.
+        /// Machines to create.
         record: ScaleOutRecord,
     },
-    /// Release of these machines.
+    /// Releases these machines.
     Release(Vec<MachineId>),
 }
 
-/// The cloud's reply.
+/// The cloud's reply to a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
     /// The machine types.
     MachineTypes(Vec<MachineType>),
-    /// The instances.
+    /// The listed instances.
     Machines(Vec<CloudMachine>),
-    /// The new instances: as many as the cloud had, at most as many as were requested.
+    /// The created instances. There are fewer than requested if the cloud had no more.
     ScaledOut(Vec<MachineId>),
-    /// The scale-out was not carried out and never will be: the cloud has no instance of
-    /// this type, zone and kind, or cannot read the request.
+    /// The scale-out was not carried out and never will be. The cloud has no instance of this
+    /// type, zone and kind (spot or on-demand), or rejected the request as malformed.
     NoCapacity,
-    /// The machines and all that ran on them are released.
+    /// The machines are released, and nothing runs on them any more.
     Released,
-    /// A failure or no reply: the request may have been carried out, or may still be.
+    /// The request failed or had no reply. It may have been carried out, or may still be.
     Indeterminate,
 }
 
-/// A scale-out that was decided. It is recorded before the cloud gets the request: a successor
-/// repeats it under the same name instead of scaling out a second time.
+/// Record of a scale-out. It is written before the request is sent to the cloud, so that a later
+/// leader repeats the request under the same name and does not scale out a second time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ScaleOutRecord {
-    /// The type of the machines.
+    /// Name of the machine type.
     #[serde(rename = "build")]
     pub machine_type: String,
-    /// Their zone.
+    /// Zone of the machines.
     pub zone: String,
-    /// Whether they are spot instances, which the cloud may take back.
+    /// Whether the machines are spot instances, which the cloud may preempt.
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
-    /// The partition that they are for.
+    /// Partition that the machines are requested for.
     #[serde(rename = "block")]
     pub partition: PartitionId,
 }
--- a/src/cloud/wire.rs
+++ b/src/cloud/wire.rs
@@ -1,7 +1,7 @@
-//! The cloud's HTTP interface: how requests are written and responses read.
+//! The wire format of the cloud's HTTP interface: encoding of requests, decoding of responses.
 //!
-//! The interface's own words stand only here and in the serde attributes of the types that
-//! it lists.
+//! The names that the interface uses appear only in this module and in the serde attributes of
+//! the types that the interface sends.
 
 use super::{CloudMachine, CloudRequest, MachineType};
 use crate::http_client::{HttpRequest, RequestError};
@@ -10,30 +10,31 @@
 use serde::Deserialize;
 use serde_json::json;
 
-/// Instances in a page of the list.
+/// Maximum number of instances in a page of the list.
 const PAGE_SIZE: usize = 500;
 
-/// What the cloud's refusal of a scale-out for lack of instances contains.
+/// Text in the response of the cloud that refuses a scale-out for lack of instances.
 const NO_CAPACITY: &[u8] = b"no capacity";
 
-/// Why a response brings nothing.
+/// Reason for which a request has no response with a result.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ResponseError {
-    /// No response came: the request may have been carried out, or may still be.
-    #[error("the cloud did not respond")]
+    /// No response was received. The request may have been carried out, or may still be.
+    #[error("no response from the cloud")]
     NoResponse(#[from] RequestError),
-    /// The scale-out was not carried out and never will be.
-    #[error("the cloud has no instance of this type, zone and kind")]
+    /// The scale-out was not carried out and never will be. The cloud lacks instances for it, or
+    /// rejected the request as malformed.
+    #[error("the cloud refused the scale-out for lack of instances or as malformed")]
     NoCapacity,
-    /// The response has a status that says nothing of the request.
-    #[error("the cloud responded with status {0}")]
+    /// The status of the response does not show whether the request was carried out.
+    #[error("expected status 200 from the cloud, got {0}")]
     Status(u16),
-    /// The body is not of the expected form.
-    #[error("the cloud's response is malformed")]
+    /// The body of the response cannot be parsed.
+    #[error("cannot parse the body of the cloud's response")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// A response as it comes off the connection.
+/// A response whose body is not parsed yet.
 #[derive(Debug)]
 pub(super) struct HttpResponse {
     pub(super) status: u16,
@@ -62,7 +63,7 @@
     machines: Vec<MachineId>,
 }
 
-/// The request in the form of the cloud's interface; of a list, its first page.
+/// Returns the HTTP request for a request to the cloud. For a list, it reads the first page.
 pub(crate) fn http_request(request: &CloudRequest) -> HttpRequest {
     match request {
         CloudRequest::MachineTypes => HttpRequest::get("/machine_types".into()),
@@ -78,34 +79,35 @@
     }
 }
 
-/// The request for the page of the list that follows this machine.
+/// Returns the HTTP request for the page of the list that follows the machine `last`, or for the
+/// first page if `last` is `None`.
 pub(super) fn list_request(last: Option<&MachineId>) -> HttpRequest {
     let since = last.map_or(String::new(), |id| format!("since={id}&"));
     HttpRequest::get(format!("/machines?{since}most={PAGE_SIZE}"))
 }
 
-/// Reads the machine types.
+/// Decodes the response to a request for the machine types.
 pub(super) fn machine_types(response: &HttpResponse) -> Result<Vec<MachineType>, ResponseError> {
     let page: MachineTypesPage = response.read()?;
     Ok(page.machine_types)
 }
 
-/// Reads a page of the list.
+/// Decodes a page of the list of instances.
 pub(super) fn machines_page(response: &HttpResponse) -> Result<MachinesPage, ResponseError> {
     response.read()
 }
 
-/// Reads which machines were scaled out.
+/// Decodes the response to a scale-out: the machines that were created.
 pub(super) fn scaled_out(response: &HttpResponse) -> Result<Vec<MachineId>, ResponseError> {
     match response.status {
         503 if contains(&response.body, NO_CAPACITY) => Err(ResponseError::NoCapacity),
-        // Malformed: it was not carried out and never will be.
+        // The cloud rejected the request as malformed, so it will never be carried out.
         400 => Err(ResponseError::NoCapacity),
         _ => response.read().map(|page: ScaledOut| page.machines),
     }
 }
 
-/// Reads the confirmation of a release. Its body says nothing more.
+/// Checks the response to a release. The status confirms the release; the body is not used.
 pub(super) fn released(response: &HttpResponse) -> Result<(), ResponseError> {
     response.require_success()
 }
--- a/src/partitions/lease.rs
+++ b/src/partitions/lease.rs
@@ -1,8 +1,8 @@
 //! Client side of a lease in the key-value store: requests for its grant and its renewals.
 //!
 //! This module decides when to request a grant or a renewal. It must never treat a lease as valid
-//! for longer than the store may keep it: validity counts from when the request was sent, because
-//! the store may start the time to live at any moment after that.
+//! for longer than the store is certain to keep it. Validity counts from when the request was
+//! sent, because the store may start the time to live at any moment after that.
 
 use super::request_pacing::{RETRY_INTERVAL, RequestPacing};
 use crate::clock::Micros;
--- a/src/partitions/membership.rs
+++ b/src/partitions/membership.rs
@@ -3,8 +3,8 @@
 //!
 //! This module owns the steps from no membership to a registered one, and the return to the first
 //! step after the lease has expired. It must never let the controller act for longer than the
-//! store may keep the lease: validity counts from when a request was sent, not from when its
-//! reply was received.
+//! store is certain to keep the lease: validity counts from when a request was sent, not from when
+//! its reply was received.
 
 use super::request_pacing::{RETRY_INTERVAL, RequestPacing};
 use super::{FormatLevel, MemberRecord};
--- a/src/partitions/records.rs
+++ b/src/partitions/records.rs
@@ -45,7 +45,7 @@
     #[serde(rename = "holder")]
     pub leader: Label,
     /// Incarnation of the leader: the revision of its member key. A restarted controller has a
-    /// new incarnation and does not continue its earlier leadership, so machine names that were
+    /// new incarnation and does not continue its earlier leadership, so scale-out names that were
     /// allocated under one leadership are never used under the next.
     pub incarnation: Revision,
 }
--- a/src/watch_cache/mod.rs
+++ b/src/watch_cache/mod.rs
@@ -1,9 +1,9 @@
-//! The store's records as this controller has read them, in the order of their changes.
+//! Cache of the store's records, to which this controller applies the changes in their order.
 //!
-//! The cache owns the parsed records and may lag behind the store. Nothing may be decided
-//! by it alone: every write names the revisions that it relies on, so a cache that is out
-//! of date makes the write fail. It never writes to the store and never guesses what an
-//! unreadable record holds.
+//! The cache owns the parsed records and may lag behind the store. No write may rely on the cache
+//! alone: every write compares the revisions that it relies on, so it fails if the cache was out
+//! of date. The cache never writes to the store and never guesses the content of an unreadable
+//! record.
 
 mod queries;
 mod unreadable_record;
@@ -22,61 +22,61 @@
 use std::rc::Rc;
 use unreadable_record::parse_record;
 
-/// Records by name.
+/// Records with their revisions, by the part of the key that identifies each of them.
 type Table<K, V> = BTreeMap<K, Versioned<V>>;
 
 /// The store's records as this controller has read them.
 #[derive(Debug, Default)]
 pub struct WatchCache {
     is_loaded: bool,
-    /// The last fencing term that was granted.
+    /// Record of the last allocated fencing term.
     pub term: Versioned<TermRecord>,
-    /// The leader.
+    /// Record of the leader, `None` if there is no leader.
     pub leader: Option<Versioned<LeaderRecord>>,
-    /// The machine types.
+    /// Machine types that the cloud offers, `None` until a controller has recorded them.
     pub types: Option<Versioned<Vec<MachineType>>>,
-    /// The format level that every controller understands; none is recorded at first.
+    /// Format level that every controller understands, `None` until one is recorded.
     pub format: Option<Versioned<FormatRecord>>,
-    /// The states of all zones, as they were written: their subsystem parses them.
+    /// States of all zones, as the stored JSON. The zone subsystem parses it.
     pub zones: Option<Versioned<Value>>,
-    /// The controllers that take part.
+    /// Controllers that are members of the cluster.
     pub members: Table<Label, MemberRecord>,
-    /// Each partition's owner.
+    /// Owner of each partition.
     pub partition_owners: Table<PartitionId, PartitionOwnerRecord>,
-    /// Each partition's machines, by partition and number of the shard.
+    /// Shards of the machines, by partition and number of the shard.
     pub machine_shards: Table<(PartitionId, u32), Rc<ShardRecord>>,
-    /// The shard that records each machine.
+    /// Shard that records each machine, as its partition and its number.
     machine_locations: BTreeMap<MachineId, (PartitionId, u32)>,
     /// Jobs that have not ended.
     pub jobs: Table<JobId, Rc<JobRecord>>,
-    /// Jobs that have not ended and whose record can't be parsed: nothing of them starts,
-    /// and they are not reported as unknown.
+    /// Jobs that have not ended and whose record cannot be parsed. None of their tasks is
+    /// started, and they are not reported as unknown.
     unreadable_jobs: BTreeSet<JobId>,
     unreadable_records: u64,
-    /// The jobs' progress, by job and number of the page.
+    /// Pages of the jobs' progress, by job and number of the page.
     pub progress_pages: Table<(JobId, u32), ProgressRecord>,
-    /// Scale-outs that are not settled.
+    /// Scale-outs that are in progress or refused, by name.
     pub scale_outs: Table<String, ScaleOutRecord>,
-    /// The teams' usage, by the controller that wrote it.
+    /// Usage of the teams as the stored JSON, by the controller that wrote it.
     pub team_usage: Table<Label, Value>,
 }
 
-/// What a change touched, for those who keep more than the cache does.
+/// The record that a change affected, for callers that keep state derived from records.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CacheChange {
-    /// A partition's owner.
+    /// The owner of a partition.
     PartitionOwner(PartitionId),
-    /// A shard of a partition's machines.
+    /// A shard of a partition's machines, by its number.
     Shard(PartitionId, u32),
     /// A job.
     Job(JobId),
-    /// A page of a job's progress.
+    /// A page of a job's progress, by its number.
     ProgressPage(JobId, u32),
-    /// Anything else.
+    /// Any other record, or a key of unknown kind.
     Other,
 }
 
-/// One change of a key: its new value, or none if it was deleted.
+/// A change of a key. `value` is the new value, or `None` if the key was deleted.
 struct KeyUpdate<'a> {
     key: &'a str,
     value: Option<Value>,
@@ -84,7 +84,7 @@
 }
 
 impl KeyUpdate<'_> {
-    /// The value as it was written.
+    /// Returns the value without parsing it, or `None` if the key was deleted.
     fn into_versioned_value(self) -> Option<Versioned<Value>> {
         Some(Versioned {
             revision: self.revision,
@@ -93,16 +93,16 @@
     }
 }
 
-/// Sets an entry, or removes it if there is no record (any more).
-fn put_entry<K: Ord, T>(table: &mut Table<K, T>, name: K, record: Option<Versioned<T>>) {
+/// Sets the record of a key in a table, or removes the key if there is no record.
+fn put_entry<K: Ord, T>(table: &mut Table<K, T>, key: K, record: Option<Versioned<T>>) {
     match record {
-        Some(record) => table.insert(name, record),
-        None => table.remove(&name),
+        Some(record) => table.insert(key, record),
+        None => table.remove(&key),
     };
 }
 
 impl WatchCache {
-    /// Starts over from a full reading.
+    /// Replaces the content of the cache by the result of a full read of the store.
     pub fn load(&mut self, entries: Vec<KeyValue>) {
         *self = WatchCache {
             is_loaded: true,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Takes one change in.
+    /// Applies a change and returns the record that it affected.
     pub fn apply_event(&mut self, event: WatchEvent) -> CacheChange {
         match (event.set, event.delete) {
             (Some(key), _) => self.apply(&key, Some(event.value), event.revision),
@@ -180,7 +180,7 @@
         let shard = (partition, number);
         let record = self.parse_shared::<ShardRecord>(update);
         if let Some(Versioned { record: old, .. }) = self.machine_shards.get(&shard) {
-            // A machine that moved may be at its new place already.
+            // A machine that has moved may already be located in its new shard.
             for id in old.0.keys() {
                 if self.machine_locations.get(id) == Some(&shard) {
                     self.machine_locations.remove(id);
@@ -213,8 +213,8 @@
         CacheChange::ProgressPage(job, page)
     }
 
-    /// The record that an update sets; none if it deletes the key, or if its value can't
-    /// be parsed, which is counted and logged.
+    /// Returns the record that an update sets, or `None` if the update deletes the key or its value
+    /// cannot be parsed. A value that cannot be parsed is counted and logged.
     fn parse<T: DeserializeOwned>(&mut self, update: KeyUpdate<'_>) -> Option<Versioned<T>> {
         match parse_record(update.key, update.value?) {
             Ok(record) => Some(Versioned {
@@ -230,7 +230,8 @@
         }
     }
 
-    /// As [`WatchCache::parse`], for records that others keep, too.
+    /// Parses an update like [`WatchCache::parse`]. Returns the record in an `Rc`, since other
+    /// modules keep references to it.
     fn parse_shared<T: DeserializeOwned>(
         &mut self,
         update: KeyUpdate<'_>,
--- a/src/watch_cache/tests.rs
+++ b/src/watch_cache/tests.rs
@@ -1,6 +1,9 @@
+//! Tests of the watch cache: locations of machines, and records that cannot be parsed.
+
 use super::*;
 use crate::partitions::MachineRecord;
 
+/// The stored value of a shard that contains these machines.
 fn shard_of(machines: &[&str]) -> Value {
     let blank = |id: &&str| {
         let record = MachineRecord::blank(String::new(), "big", "x", false);
@@ -9,6 +12,8 @@
     serde_json::to_value(ShardRecord(machines.iter().map(blank).collect())).expect("a record")
 }
 
+/// Guards against a machine that is lost from the cache when it moves: the change of the old shard
+/// may be applied after that of the new one.
 #[test]
 fn a_machine_that_moves_between_shards_is_found_at_its_new_location() {
     let mut cache = WatchCache::default();
@@ -17,7 +22,8 @@
         Some(shard_of(&["m-1", "m-2"])),
         Revision(1),
     );
-    // One transaction, reported in the order that loses it if the old location wins.
+    // Both changes belong to one transaction. In this order, removing all machines of the old
+    // shard would lose the new location.
     cache.apply(
         "r/blocks/1/machines/3",
         Some(shard_of(&["m-1"])),
@@ -40,6 +46,8 @@
     );
 }
 
+/// Guards against a controller that uses a record that it cannot parse, or that reports the job of
+/// such a record as unknown to its user. Another version of the controller may have written it.
 #[test]
 fn unreadable_records_are_counted_and_dropped_and_their_job_is_not_unknown() {
     let job = JobId::from("j-1");
--- a/src/watch_cache/unreadable_record.rs
+++ b/src/watch_cache/unreadable_record.rs
@@ -1,20 +1,20 @@
-//! Records that this version can't parse.
+//! Parsing of records, and the error for records that this version cannot parse.
 
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// A record whose value this version can't parse. An earlier or a later version may have
-/// written it, so it is counted and logged, and its content is never guessed.
+/// Error for a record whose value this version cannot parse. An earlier or a later version may
+/// have written it. The caller counts and logs the error and must not guess the content.
 #[derive(Debug, thiserror::Error)]
-#[error("the record of key `{key}` is unreadable")]
+#[error("cannot parse the record of key `{key}`")]
 pub(super) struct UnreadableRecord {
-    /// The record's key.
+    /// Key of the record.
     pub(super) key: String,
-    /// Why its value could not be parsed.
+    /// Reason for which the value could not be parsed.
     pub(super) source: serde_json::Error,
 }
 
-/// The record that a key's value holds.
+/// Parses the value of a key as a record.
 pub(super) fn parse_record<T: DeserializeOwned>(
     key: &str,
     value: Value,
