--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -39,7 +39,8 @@
 /// Minimum interval between two scans of all machines for those to release, move or adopt.
 const SCAN_INTERVAL: Micros = Micros::from_millis(800);
 
-/// Maximum age of an owner's report of its partition. Older reports are ignored.
+/// Maximum age of an owner's report of its partition. Older reports cause no scale-outs and no
+/// releases.
 const PARTITION_STATE_MAX_AGE: Micros = Micros::from_millis(4_000);
 
 /// Identifies a write of the autoscaler when the store's reply is handled.
@@ -73,7 +74,7 @@
 /// An action that the caller of the autoscaler has to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Send a compare-and-swap to the store.
+    /// Compare-and-swap that the caller has to send to the store.
     CompareAndSwap {
         /// Identifies the write. The caller passes it to [`Autoscaler::handle_store_reply`] with
         /// the store's reply.
@@ -83,8 +84,8 @@
         /// Changes to the store.
         mutations: Vec<Mutation>,
     },
-    /// Send a request to the cloud. The caller passes it to [`Autoscaler::handle_cloud_reply`]
-    /// with the cloud's reply.
+    /// Request that the caller has to send to the cloud. The caller passes it to
+    /// [`Autoscaler::handle_cloud_reply`] with the cloud's reply.
     Cloud(CloudRequest),
 }
 
--- a/src/partitions/shards.rs
+++ b/src/partitions/shards.rs
@@ -42,7 +42,7 @@
     }
 
     /// Splits the shard into parts that each fit in a value of at most `max_value_bytes`. Returns
-    /// at least one part.
+    /// at least one part. A part with a single machine is not checked against the limit.
     pub fn split(self, max_value_bytes: usize) -> Vec<ShardRecord> {
         let mut parts = vec![ShardRecord::default()];
         for (id, record) in self.0 {
