--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -1,7 +1,8 @@
-//! All decisions of a controller: messages and the time go in, effects come out.
+//! The decision logic of a controller: takes inputs and the time, and returns effects.
 //!
-//! It composes the parts of a controller, each with its own state, and passes messages on to
-//! them. It must never open a socket, read a clock or block: the driver does that.
+//! The core composes the components of a controller, each of which owns its state, and routes
+//! every input to the component that handles it. The core must never open a socket, read a
+//! clock or block: the driver does all input and output.
 
 mod api_view;
 mod autoscaling;
@@ -51,20 +52,20 @@
 use store_reader::StoreReader;
 use team_usage::TeamUsagePublisher;
 
-/// What a controller is configured with; it does not change while it runs.
+/// The settings and the policy of a controller, which are fixed while it runs.
 struct Configuration {
     settings: Rc<Settings>,
     policy: Rc<Policy>,
 }
 
 impl Configuration {
-    /// How many partitions the machines are divided into.
+    /// Returns the number of partitions that the machines are divided into.
     fn partition_count(&self) -> u64 {
         self.policy.partition_count(&self.settings)
     }
 }
 
-/// A controller's state and all of its decisions.
+/// The state of a controller and the logic of its decisions.
 pub struct Core {
     configuration: Configuration,
     store: StoreReader,
@@ -82,12 +83,12 @@
     read_index: ReadIndex,
     api_view: ApiViewPublisher,
     team_usage: TeamUsagePublisher,
-    /// None: zone failover is off.
+    /// Zone failover; `None` if this subsystem is disabled.
     zones: Option<ZoneFailover>,
 }
 
 impl Core {
-    /// A controller that has just started and knows nothing of the store.
+    /// Creates the core of a controller that has just started and has not read the store.
     pub fn new(settings: Rc<Settings>, policy: Rc<Policy>, now: Micros) -> Self {
         Core {
             store: StoreReader::default(),
@@ -115,7 +116,7 @@
         }
     }
 
-    /// The same with the subsystems that are on.
+    /// Returns the core with the enabled subsystems attached.
     pub fn with_subsystems(mut self, subsystems: &Subsystems) -> Self {
         let config = subsystems.zone_failover.as_ref();
         self.zones =
@@ -123,8 +124,8 @@
         self
     }
 
-    /// Takes one message in and returns what is to be done, in this order. `now` is the
-    /// steady clock, `wall_clock` the time of day.
+    /// Handles one input and returns the effects to carry out, in this order. `now` is the
+    /// monotonic time, `wall_clock` the wall-clock time.
     pub fn handle(&mut self, now: Micros, wall_clock: Micros, input: Input) -> Vec<Effect> {
         let mut out = Vec::new();
         match input {
@@ -161,7 +162,7 @@
         out
     }
 
-    /// Takes a peer's message in.
+    /// Handles a message from a peer.
     pub fn handle_peer_message(&mut self, now: Micros, message: Message) {
         match message {
             Message::PeerState(state) => self.peers.record_state(now, state),
@@ -174,13 +175,14 @@
         }
     }
 
-    /// Until when this controller may act for its partitions. Outside its lease an owner must
-    /// not act: another may own the partition.
+    /// Returns the time until which this controller may act for its partitions. An owner must
+    /// not act outside its lease, because another controller may own the partition by then.
     fn may_act_until(&self) -> Micros {
         self.membership.may_act_until(self.store.last_read_at())
     }
 
-    /// Machines that were compared with a class of work so far: what passes cost.
+    /// Returns how many machines the placement passes of all owned partitions have compared
+    /// with a class of tasks. This count measures the cost of the passes.
     pub fn machines_compared(&self) -> usize {
         let partitions = self.partitions.values();
         partitions
--- a/src/controller/core/api_view.rs
+++ b/src/controller/core/api_view.rs
@@ -1,6 +1,6 @@
-//! What the API is given: the view of the controller, and answers to job lookups.
+//! Provides the API with a view of the controller's state and with answers to job lookups.
 //!
-//! It owns the view that was published last. The API decides nothing that is decided here.
+//! It owns the view that was last published. Decisions are made here, never in the API.
 
 use super::Core;
 use super::effects::read_index_effect;
@@ -12,10 +12,11 @@
 use crate::store::{Reply, Versioned};
 use std::sync::Arc;
 
-/// Time alone changes the view, too: it is computed again so often.
+/// Interval at which the view is recomputed without any input, because health also changes as
+/// time passes.
 const API_VIEW_INTERVAL: Micros = Micros::from_millis(250);
 
-/// The view that was published last.
+/// The view that was last published, and when a view was last computed.
 #[derive(Default)]
 pub(super) struct ApiViewPublisher {
     view: Arc<ApiView>,
@@ -23,7 +24,7 @@
 }
 
 impl ApiViewPublisher {
-    /// The view to publish, if it is another than the last.
+    /// Replaces the last view and returns the new one; `None` if the view has not changed.
     fn replace(&mut self, view: ApiView) -> Option<Arc<ApiView>> {
         if view == *self.view {
             return None;
@@ -34,14 +35,14 @@
 }
 
 impl Core {
-    /// Computes the view again, if an interval has passed.
+    /// Recomputes the view if the interval has passed.
     pub(super) fn publish_api_view_if_due(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if now.since(self.api_view.last_computed_at) >= API_VIEW_INTERVAL {
             self.publish_api_view(now, out);
         }
     }
 
-    /// Computes the view, and publishes it if it changed.
+    /// Recomputes the view and publishes it if it has changed.
     pub(super) fn publish_api_view(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.api_view.last_computed_at = now;
         let view = ApiView {
@@ -54,7 +55,8 @@
         out.extend(changed.map(Effect::PublishView));
     }
 
-    /// Each team's partition with the revision and term of its grant, in the settings' order.
+    /// Returns the partition of each team with the revision and term of its grant, in the order
+    /// of the teams in the settings.
     fn team_partitions(&self) -> Vec<TeamPartition> {
         let settings = &self.configuration.settings;
         let cache = self.store.cache();
@@ -72,7 +74,8 @@
             .collect()
     }
 
-    /// A user's lookup of a job. Without a read of late there is none to wait for.
+    /// Begins a user's lookup of a job. Without a recent read of the store the lookup can't be
+    /// answered by the next read, so it is refused at once unless the job's end is cached.
     pub(super) fn handle_job_lookup(
         &mut self,
         now: Micros,
@@ -85,7 +88,7 @@
         out.extend(effect.map(read_index_effect));
     }
 
-    /// Answers the lookups that waited for a read requested at `requested_at`.
+    /// Answers the lookups that a read of the store requested at `requested_at` can answer.
     pub(super) fn answer_job_lookups(&mut self, requested_at: Micros, out: &mut Vec<Effect>) {
         let cache = self.store.cache();
         let graph = self.dependencies.graph();
@@ -93,7 +96,7 @@
         out.extend(effects.into_iter().map(read_index_effect));
     }
 
-    /// The record of an ended job that a user looks up.
+    /// Handles the reply to a read of the record of an ended job that users look up.
     pub(super) fn handle_ended_job_reply(
         &mut self,
         job: JobId,
--- a/src/controller/core/autoscaling.rs
+++ b/src/controller/core/autoscaling.rs
@@ -1,6 +1,7 @@
-//! The leader runs the autoscaler, and its effects become the controller's.
+//! Runs the autoscaler on the leader, and converts its effects to effects of the controller.
 //!
-//! It holds no state. Replies to an earlier leadership never reach the autoscaler.
+//! This module holds no state. Replies to writes of an earlier leadership are never passed to
+//! the autoscaler.
 
 use super::Core;
 use crate::autoscaler::{self, FleetSnapshot};
@@ -11,8 +12,13 @@
 use zone_failover::leader::ScaleOutAccess;
 
 impl Core {
-    /// One step of the autoscaler, once the machine types are known.
-    pub(super) fn run_autoscaler(&mut self, now: Micros, leader: &Compare, out: &mut Vec<Effect>) {
+    /// Runs one step of the autoscaler. Does nothing while the machine types are unknown.
+    pub(super) fn run_autoscaler(
+        &mut self,
+        now: Micros,
+        leadership: &Compare,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(types) = self.machine_types.types() else {
             return;
         };
@@ -25,20 +31,20 @@
         };
         let fleet = FleetSnapshot {
             cache: self.store.cache(),
-            leader,
+            leader: leadership,
             applied_revision: self.store.applied_revision(),
             machine_types: types,
             partition_states: &partition_states,
             scale_out_access: &scale_out_access,
         };
         let effects = self.leader_state.autoscaler.step(now, &fleet);
-        self.note_zone_probes(now, &effects);
+        self.record_zone_probes(now, &effects);
         let leader_revision = self.leader_revision().unwrap_or(Revision(0));
         let effects = effects.into_iter();
         out.extend(effects.map(|effect| autoscaler_effect(leader_revision, effect)));
     }
 
-    /// Takes in the reply to a write of the autoscaler.
+    /// Handles the reply to a write of the autoscaler.
     pub(super) fn handle_autoscaler_reply(
         &mut self,
         now: Micros,
@@ -46,7 +52,7 @@
         write: autoscaler::Write,
         reply: &Reply,
     ) {
-        // An earlier leadership's replies mean nothing to this one.
+        // Replies to writes of an earlier leadership do not concern the current one.
         if self.leader_revision() == Some(leader_revision) {
             self.leader_state
                 .autoscaler
@@ -54,7 +60,8 @@
         }
     }
 
-    /// The revision of the leader's key, which names a leadership.
+    /// Returns the revision of the leader's key, which identifies a leadership; `None` if there
+    /// is no leader.
     fn leader_revision(&self) -> Option<Revision> {
         let leader = self.store.cache().leader.as_ref();
         leader.map(|versioned| versioned.revision)
--- a/src/controller/core/cancellations.rs
+++ b/src/controller/core/cancellations.rs
@@ -1,17 +1,17 @@
-//! Cancellations that the store has confirmed at revisions that the watch has not reached.
+//! Cancellations that the store has committed at revisions that the watch has not reached.
 //!
-//! It owns which jobs must not start whatever the cache says of them. It is bounded: when it
-//! is full, the cancellation of the lowest revision is dropped, since the watch reaches it
-//! first.
+//! It records the jobs that must not start although the cache still shows them as live. The
+//! set is bounded: when it is full, the cancellation with the lowest revision is dropped,
+//! because the watch reaches that revision first.
 
 use super::Core;
 use crate::ids::{JobId, Revision};
 use std::collections::BTreeSet;
 
-/// Cancellations that are remembered until the watch has reached them.
+/// Maximum number of cancellations that are kept until the watch has reached them.
 const MAX_PENDING_CANCELLATIONS: usize = 4_096;
 
-/// A bounded set of cancelled jobs with the revisions of their cancellations.
+/// Bounded set of cancelled jobs with the revisions of their cancellations.
 #[derive(Debug, Default)]
 pub(super) struct PendingCancellations {
     jobs: BTreeSet<(Revision, JobId)>,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Forgets what the cache shows by now.
+    /// Drops the cancellations that the cache already includes.
     fn drop_applied(&mut self, applied_revision: Revision) {
         self.jobs
             .retain(|(revision, _)| *revision > applied_revision);
@@ -37,9 +37,9 @@
 }
 
 impl Core {
-    /// The store has cancelled a job: nothing more of it starts here, whether or not the
-    /// watch has come so far. Until it has, the job may still come to a partition owned
-    /// here, so it is remembered.
+    /// Handles a cancellation that the store has committed at `revision`: no further task of the
+    /// job starts on this controller. If the watch has not reached the revision, the cancellation
+    /// is kept, because the job may still be added to an owned partition until then.
     pub(super) fn handle_cancellation(&mut self, job: JobId, revision: Revision) {
         if revision <= self.store.applied_revision() {
             return;
--- a/src/controller/core/cancellations/tests.rs
+++ b/src/controller/core/cancellations/tests.rs
@@ -1,3 +1,6 @@
+//! Guards against a cancelled job that starts because its cancellation was dropped before the
+//! watch reached it, and against a set of cancellations that grows without bound.
+
 use super::{MAX_PENDING_CANCELLATIONS, PendingCancellations};
 use crate::ids::{JobId, Revision};
 
--- a/src/controller/core/dependencies.rs
+++ b/src/controller/core/dependencies.rs
@@ -1,7 +1,7 @@
-//! The graph of dependencies between jobs, and its way to the owned partitions.
+//! The graph of dependencies between jobs, and its distribution to the owned partitions.
 //!
-//! It owns whether the partitions have the graph as it is. Ends of jobs that the graph lacks
-//! are read from the store; they are never assumed.
+//! It records whether the partitions have the current graph. Job ends that the graph lacks are
+//! read from the store and never assumed.
 
 use super::Core;
 use super::effects::read_ended_job;
@@ -14,38 +14,39 @@
 use crate::store::Reply;
 use crate::watch_cache::WatchCache;
 
-/// The dependency graph.
+/// The dependency graph, and whether the owned partitions have its current state.
 #[derive(Default)]
 pub(super) struct DependencyTracker {
     graph: DependencyGraph,
-    /// A partition has been acquired or reloaded, and its jobs do not have the graph yet.
+    /// Whether a partition was acquired or reloaded and its jobs do not reflect the graph yet.
     is_out_of_sync: bool,
 }
 
 impl DependencyTracker {
-    /// The graph as it is now.
+    /// Returns the current graph.
     pub(super) fn graph(&self) -> &DependencyGraph {
         &self.graph
     }
 
-    /// The partitions are given the graph at the next occasion, changed or not.
+    /// Requires the next synchronization to update the partitions even if the graph has not
+    /// changed.
     pub(super) fn mark_out_of_sync(&mut self) {
         self.is_out_of_sync = true;
     }
 
-    /// Starts over from a full read.
+    /// Rebuilds the graph after a full read of the store.
     pub(super) fn reload(&mut self, now: Micros, cache: &WatchCache) {
         self.graph.reload(now, &cache.jobs);
     }
 
-    /// Takes in changed jobs.
+    /// Updates the graph after changes of the given jobs in the cache.
     pub(super) fn sync_jobs(&mut self, now: Micros, jobs: &[JobId], cache: &WatchCache) {
         for job in jobs {
             self.graph.reconcile_job(now, job, &cache.jobs);
         }
     }
 
-    /// Ends that the store has committed are known without another read.
+    /// Records the job ends of a committed write. They need not be read from the store again.
     pub(super) fn record_committed_ends(&mut self, write: &Write, reply: &Reply) {
         let (Write::Ends { ends, at, .. }, Reply::Committed(revision)) = (write, reply) else {
             return;
@@ -56,18 +57,19 @@
         }
     }
 
-    /// Whether the partitions lack something of the graph; they are given it then.
-    fn take_out_of_sync(&mut self, cache: &WatchCache) -> bool {
+    /// Refreshes the graph and returns whether the partitions must be updated. Clears the mark
+    /// that they are out of sync, so the caller must update them.
+    fn refresh_graph(&mut self, cache: &WatchCache) -> bool {
         let has_changed = self.graph.refresh(&cache.jobs);
         std::mem::take(&mut self.is_out_of_sync) || has_changed
     }
 }
 
 impl Core {
-    /// The owned partitions are given what changed in the dependency graph, and ends that it
-    /// lacks are read.
+    /// Updates the owned partitions if the dependency graph has changed, and requests reads of
+    /// the job ends that the graph lacks.
     pub(super) fn sync_dependencies(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if self.dependencies.take_out_of_sync(self.store.cache()) {
+        if self.dependencies.refresh_graph(self.store.cache()) {
             for partition in self.partitions.values_mut() {
                 partition.update_dependencies(&self.dependencies.graph);
             }
@@ -79,7 +81,7 @@
         }));
     }
 
-    /// Takes in the record of an ended job that others depend on.
+    /// Handles the reply to a read of the record of an ended job that other jobs depend on.
     pub(super) fn handle_dependency_end_reply(
         &mut self,
         now: Micros,
@@ -91,7 +93,8 @@
         self.sync_dependencies(now, out);
     }
 
-    /// The store has confirmed to a user of this controller that a job is cancelled.
+    /// Handles a cancellation that a user of this controller requested and the store has
+    /// committed, and sends it to the peers.
     pub(super) fn handle_own_cancellation(
         &mut self,
         now: Micros,
--- a/src/controller/core/effects.rs
+++ b/src/controller/core/effects.rs
@@ -1,6 +1,6 @@
-//! The effects of a controller's parts, converted to its own.
+//! Conversion of the effects of the core's components to effects of the controller.
 //!
-//! It holds no state; it adds the operation, the priority and the term to each effect.
+//! This module holds no state. It adds the operation, the priority and the term to each effect.
 
 use crate::api::read_index;
 use crate::clock::Micros;
@@ -9,7 +9,7 @@
 use crate::partition_owner;
 use crate::store::{Compare, Mutation, Request, RequestPriority, keys};
 
-/// A write that goes before all others: without it nothing else may be done.
+/// Returns a write with the highest priority, for changes without which no other work is allowed.
 pub(super) fn critical_write(
     operation: StoreOperation,
     compares: Vec<Compare>,
@@ -25,7 +25,7 @@
     }
 }
 
-/// A read of the record of an ended job.
+/// Returns a read of the record of an ended job.
 pub(super) fn read_ended_job(operation: StoreOperation, job: &JobId) -> Effect {
     Effect::StoreRequest {
         operation,
@@ -36,7 +36,7 @@
     }
 }
 
-/// An effect of the read index.
+/// Converts an effect of the read index.
 pub(super) fn read_index_effect(effect: read_index::Effect) -> Effect {
     match effect {
         read_index::Effect::AnswerJobLookup(request_id, lookup) => {
@@ -48,8 +48,8 @@
     }
 }
 
-/// An effect of an owned partition under its term. Commands are not sent from `send_before`
-/// on.
+/// Converts an effect of an owned partition, and adds the partition's term. Direct commands must
+/// not be sent from `send_before` on.
 pub(super) fn partition_effect(
     partition: PartitionId,
     term: Term,
@@ -92,7 +92,8 @@
     }
 }
 
-/// Where changes are short, progress waits for all the others.
+/// Returns the priority of a partition's write. Progress has the lowest, so that other writes go
+/// first when the write budget does not suffice for all.
 fn write_priority(write: &partition_owner::Write) -> RequestPriority {
     match write {
         partition_owner::Write::Progress { .. } => RequestPriority::Background,
--- a/src/controller/core/gossip.rs
+++ b/src/controller/core/gossip.rs
@@ -1,7 +1,7 @@
 //! Gossip to the peers: that this controller is alive, and the state of its partitions.
 //!
-//! It owns the capacity requests that were computed for the last gossip. Nothing of it is
-//! authority: peers use it to decide sooner.
+//! It owns the capacity requests that were computed for the last gossip. Gossip grants no
+//! authority: peers only use it to decide sooner.
 
 use super::Core;
 use super::effects::partition_effect;
@@ -13,11 +13,12 @@
 use crate::placement::CapacityRequest;
 use std::collections::BTreeMap;
 
+/// Interval between two gossip messages of this controller.
 const GOSSIP_INTERVAL: Micros = Micros::from_millis(700);
-/// The capacity requests of another partition count for so long after their receipt.
+/// Time after their receipt for which the capacity requests of another partition are used.
 const CAPACITY_REQUEST_VALIDITY: Micros = Micros::from_millis(3_000);
 
-/// When the peers were sent something last, and the capacity requests it was based on.
+/// Time of the last gossip, and the capacity requests that it contained.
 #[derive(Debug, Default)]
 pub(super) struct Gossip {
     last_sent_at: Micros,
@@ -25,7 +26,7 @@
 }
 
 impl Gossip {
-    /// Whether gossip is to be sent now; if so, next after an interval.
+    /// Returns whether gossip is due. If so, the next is due one interval later.
     fn begin_if_due(&mut self, now: Micros) -> bool {
         let is_due = now.since(self.last_sent_at) >= GOSSIP_INTERVAL;
         if is_due {
@@ -41,17 +42,19 @@
 }
 
 impl Core {
-    /// Sends the peers that this controller is alive, and nothing of the partitions. Guards
-    /// against an outage of the store in which all controllers stop acting, take themselves
-    /// for isolated, and turn unhealthy: users were not even refused.
+    /// Sends gossip without any partition state if it is due, so that the peers know that this
+    /// controller is alive. Without this gossip, all controllers would stop acting in a store
+    /// outage, consider themselves isolated, and become unhealthy. Users would then not even
+    /// receive a refusal.
     pub(super) fn gossip_liveness(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if self.gossip.begin_if_due(now) {
             out.push(self.peer_state(now, Vec::new()));
         }
     }
 
-    /// Sends the peers the state of this controller and its partitions, releases idle
-    /// machines by what the peers lack, and publishes the teams' usage.
+    /// Sends the state of this controller and its partitions to the peers if it is due. Also
+    /// releases idle machines according to the capacity that other partitions lack, and
+    /// publishes the teams' usage.
     pub(super) fn gossip(&mut self, now: Micros, wall_clock: Micros, out: &mut Vec<Effect>) {
         if !self.gossip.begin_if_due(now) {
             return;
@@ -99,7 +102,7 @@
         }
     }
 
-    /// The newest known state of every partition, those owned here included.
+    /// Returns the newest known state of every partition, including the owned partitions.
     pub(super) fn newest_partition_states(
         &self,
         now: Micros,
@@ -130,7 +133,7 @@
     }
 }
 
-/// The capacity that the waiting work of all other partitions lacks.
+/// Returns the valid capacity requests of all partitions other than `partition`.
 fn capacity_requests_of_others(
     now: Micros,
     partition: PartitionId,
--- a/src/controller/core/health.rs
+++ b/src/controller/core/health.rs
@@ -1,21 +1,23 @@
-//! Whether users should come here, which members are fit to own partitions, and whether this
-//! controller is isolated.
+//! Health checks: whether users should be routed to this controller, which members are fit to
+//! own partitions, and whether this controller is isolated.
 //!
-//! It holds no state: it combines the store reader, the peer table and the reachability of the
-//! workers.
+//! This module holds no state. It combines the store reader, the peer table and the
+//! reachability of the workers.
 
 use super::Core;
 use crate::clock::Micros;
 use crate::ids::Label;
 
-/// Without a read for so long, a controller is unhealthy if a peer has one. Longer than the
-/// staleness at which a controller's gossip says that it lost the store, so that in an
-/// outage the gossip of all says so before.
+/// Age of the last store read from which on a controller is unhealthy, if a peer still reaches
+/// the store or if no peer sends gossip. It is longer than the age at which a controller's gossip
+/// reports the store as unreachable. In a store outage, all controllers have therefore reported
+/// it as unreachable before any of them could become unhealthy.
 const UNHEALTHY_STALENESS: Micros = Micros::from_millis(5_500);
 
 impl Core {
-    /// Whether users should come here: not while this controller lacks the store and another
-    /// has it. In an outage all lack it, and nobody gains from a removal.
+    /// Returns whether users should be routed to this controller. They should not while this
+    /// controller cannot reach the store and a peer can. In a store outage no controller reaches
+    /// it, so taking one out of service would not help any user.
     pub(super) fn is_healthy(&self, now: Micros) -> bool {
         if !self.store.cache().is_loaded() {
             return false;
@@ -23,14 +25,15 @@
         if now.since(self.store.last_read_at()) < UNHEALTHY_STALENESS {
             return true;
         }
-        // Without the store and without any peer an outage can't be distinguished from
-        // an isolation of our own, which is the likelier.
+        // Without the store and any peer, a store outage looks the same as the isolation of
+        // this controller, which is more likely.
         let has_seeds = !self.configuration.settings.seeds.is_empty();
-        let is_alone = has_seeds && !self.peers.has_recent_state(now);
-        !is_alone && !self.peers.reaches_store(now)
+        let has_lost_peers = has_seeds && !self.peers.has_recent_state(now);
+        !has_lost_peers && !self.peers.any_peer_reaches_store(now)
     }
 
-    /// Whether a member shows signs of life and reaches its workers.
+    /// Returns whether a member is fit to own partitions: it is alive and reaches its workers.
+    /// A peer must also reach the store.
     pub(super) fn is_member_fit(&self, now: Micros, label: &Label) -> bool {
         if *label == self.configuration.settings.label {
             return self.rebalancing.are_workers_reachable(now);
@@ -38,7 +41,8 @@
         self.peers.is_fit(now, label)
     }
 
-    /// Others are members, but none of them sends anything: this controller may be isolated.
+    /// Returns whether this controller may be isolated: there are other members, but it receives
+    /// no gossip from any of them.
     pub(super) fn is_isolated_from_peers(&self, now: Micros) -> bool {
         let own_label = &self.configuration.settings.label;
         let members = self.store.cache().members.keys();
--- a/src/controller/core/heartbeats.rs
+++ b/src/controller/core/heartbeats.rs
@@ -1,7 +1,7 @@
-//! Heartbeats of workers, and replies to direct commands, on their way to a partition.
+//! Routing of workers' heartbeats and of replies to direct commands to the owned partitions.
 //!
-//! Only the owner of a machine's partition answers it, and only while it may act: nobody else
-//! may hand out a fencing token.
+//! Only the owner of a machine's partition accepts the machine's heartbeats, and only while the
+//! owner may act. No other controller may issue a fencing token for the machine.
 
 use super::Core;
 use crate::api::ports::HeartbeatAnswer;
@@ -12,7 +12,8 @@
 use crate::workers::Heartbeat;
 
 impl Core {
-    /// The answer to a worker's heartbeat: from the partition of its machine, if it is owned here.
+    /// Handles a worker's heartbeat and returns the answer. The partition of the machine answers
+    /// if this controller owns it. Otherwise the worker is redirected to the owner, if it is alive.
     pub(super) fn handle_heartbeat(
         &mut self,
         now: Micros,
@@ -20,8 +21,9 @@
         heartbeat: &Heartbeat,
     ) -> HeartbeatAnswer {
         let cache = self.store.cache();
-        // Not recorded in a partition, or released: nobody may answer with a token. A
-        // heartbeat alone never makes a machine one of ours: it may be a late copy.
+        // A machine that is not recorded in a partition, or that is released, gets no fencing
+        // token. The heartbeat alone does not make it a machine of this deployment, since it may
+        // be a delayed copy.
         let recorded = cache.machine(&heartbeat.machine);
         let recorded = recorded.filter(|(_, machine)| machine.release_reason.is_none());
         let Some(((partition, _), _)) = recorded else {
@@ -50,7 +52,8 @@
             .map_or(HeartbeatAnswer::Unavailable, HeartbeatAnswer::Accepted)
     }
 
-    /// Passes on what became of a direct command, unless the partition's term has ended.
+    /// Passes the outcome of a direct command to the partition, unless the term under which the
+    /// command was sent has ended.
     pub(super) fn handle_direct_command_reply(
         &mut self,
         now: Micros,
--- a/src/controller/core/in_flight.rs
+++ b/src/controller/core/in_flight.rs
@@ -1,27 +1,27 @@
-//! Requests of which one of a kind may be in flight at a time.
+//! Limits some kinds of requests to one request of the kind in flight at a time.
 //!
-//! It owns when each was begun. It never decides whether a request is needed.
+//! It records when each request began. It never decides whether a request is needed.
 
 use crate::clock::Micros;
 use std::collections::BTreeMap;
 
-/// A request that was never answered counts as lost after this, and may be begun again.
+/// Time after which an unanswered request counts as lost, and the next of its kind may begin.
 const REQUEST_TIMEOUT: Micros = Micros::from_millis(6_000);
 
-/// A kind of request that is not begun again while one is in flight.
+/// Kind of request of which at most one is in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum RequestKind {
-    /// The list of machine types, from the cloud or on its way into the store.
+    /// Read of the machine types from the cloud, or write of them to the store.
     MachineTypes,
-    /// Becoming the leader.
+    /// Write of the leader's key to become the leader.
     Candidacy,
-    /// Giving up leadership.
+    /// Deletion of the leader's key to end a leadership.
     StepDown,
-    /// Grants of partitions.
+    /// Write of partition grants.
     PartitionGrants,
-    /// Handing all owned partitions back.
+    /// Hand-back of all owned partitions.
     HandBackAll,
-    /// Raising the format level.
+    /// Write of a higher format level.
     FormatLevel,
 }
 
@@ -32,7 +32,8 @@
 }
 
 impl InFlightRequests {
-    /// Begins a request of a kind; false if one is in flight and has not timed out.
+    /// Marks a request of a kind as in flight and returns true. Returns false if one is already
+    /// in flight and has not timed out.
     pub(super) fn begin_request(&mut self, now: Micros, kind: RequestKind) -> bool {
         let begun_at = self.begun_at.get(&kind);
         if begun_at.is_some_and(|begun_at| now.since(*begun_at) < REQUEST_TIMEOUT) {
@@ -42,14 +43,14 @@
         true
     }
 
-    /// The request of a kind has been answered: the next may begin at once.
+    /// Marks the request of a kind as answered. The next may begin at once.
     pub(super) fn finish(&mut self, kind: RequestKind) {
         self.begun_at.remove(&kind);
     }
 
-    /// The request of a kind has been answered, but the next may begin only after a delay.
+    /// Marks the request of a kind as answered. The next may begin only after the delay.
     pub(super) fn finish_after(&mut self, now: Micros, kind: RequestKind, delay: Micros) {
-        // As if it had been begun so early that it times out then.
+        // The start is set back so that the timeout ends after the delay.
         self.begun_at
             .insert(kind, (now + delay).since(REQUEST_TIMEOUT));
     }
--- a/src/controller/core/in_flight/tests.rs
+++ b/src/controller/core/in_flight/tests.rs
@@ -1,3 +1,6 @@
+//! Guards against two requests of a kind in flight at once, and against a lost reply that blocks
+//! all later requests of its kind.
+
 use super::{InFlightRequests, RequestKind};
 use crate::clock::Micros;
 
--- a/src/controller/core/leader_election.rs
+++ b/src/controller/core/leader_election.rs
@@ -1,7 +1,8 @@
-//! Leader election: the leader's lease, standing for leader, and stepping down.
+//! Leader election: the leader's lease, campaigning for leadership, and stepping down.
 //!
-//! It owns how long there has been no leader and how long this controller has led. It never
-//! acts as the leader: that takes the [`Compare`] which [`Core::leader_compare`] gives.
+//! It records since when there has been no leader and since when this controller leads. It
+//! never acts as the leader: every write of the leader needs the [`Compare`] that
+//! [`Core::leader_compare`] returns.
 
 use super::Core;
 use super::effects::critical_write;
@@ -14,22 +15,23 @@
 use crate::partitions::lease::Lease;
 use crate::store::{Compare, Mutation, RequestPriority, Versioned, keys};
 
-/// How long the leader's lease lives without a renewal, unless a member's is shorter.
+/// Time to live of the leader's lease, unless that of the member lease is shorter.
 const LEADER_LEASE_DURATION: Micros = Micros::from_millis(6_000);
 
-/// This controller's part in the election of the leader.
+/// The state of leader election as this controller observes it, and its lease as the leader.
 #[derive(Debug)]
 pub(super) struct LeaderElection {
-    /// For the leader's key alone.
+    /// Lease that only the leader's key is attached to.
     lease: Lease,
-    /// Since when the cache has shown no leader.
+    /// Time since which the cache has shown no leader; `None` if there is a leader.
     leaderless_since: Option<Micros>,
-    /// Since when this controller leads.
+    /// Time since which this controller leads; `None` if it does not lead.
     leading_since: Option<Micros>,
 }
 
 impl LeaderElection {
-    /// With a lease no longer than that of a member.
+    /// Creates the state of a controller that has not read the store. The leader's lease is at
+    /// most as long as the member lease.
     pub(super) fn new(member_lease: Micros) -> Self {
         LeaderElection {
             lease: Lease::new(LEADER_LEASE_DURATION.min(member_lease)),
@@ -38,17 +40,18 @@
         }
     }
 
-    /// The lease that the leader's key is attached to.
+    /// Returns the lease that the leader's key is attached to.
     pub(super) fn lease_mut(&mut self) -> &mut Lease {
         &mut self.lease
     }
 
-    /// Since when this controller leads, if it does.
+    /// Returns the time since which this controller leads; `None` if it does not lead.
     pub(super) fn leading_since(&self) -> Option<Micros> {
         self.leading_since
     }
 
-    /// Takes in what the cache shows of the leader.
+    /// Updates the state after a change of the cache. `has_leader` says whether there is a
+    /// leader, `is_leader` whether this controller is the leader.
     pub(super) fn update(&mut self, now: Micros, has_leader: bool, is_leader: bool) {
         self.leaderless_since = if has_leader {
             None
@@ -63,7 +66,8 @@
 }
 
 impl Core {
-    /// The condition that this controller still leads; none: it does not lead.
+    /// Returns the compare that holds only while this controller leads; `None` if it does not
+    /// lead.
     pub(super) fn leader_compare(&self) -> Option<Compare> {
         leader::leadership_compare(
             self.store.cache(),
@@ -72,8 +76,9 @@
         )
     }
 
-    /// Keeps the leader's lease up, stands for leader or steps down. The condition for all
-    /// that a leader writes, if this controller leads and keeps leading.
+    /// Renews the leader's lease, campaigns for leadership, or steps down. Returns the compare
+    /// that every write of the leader must include; `None` if this controller does not lead or
+    /// has just requested to step down.
     pub(super) fn run_leader_election(
         &mut self,
         now: Micros,
@@ -82,15 +87,15 @@
         let incarnation = self.membership.incarnation()?;
         self.maintain_leader_lease(now, out);
         if let Some(leaderless_since) = self.election.leaderless_since {
-            self.stand_for_leader(now, incarnation, leaderless_since, out);
+            self.campaign_for_leader(now, incarnation, leaderless_since, out);
             return None;
         }
         if self.end_earlier_leadership(now, incarnation, out) {
             return None;
         }
-        let leader = self.leader_compare()?;
-        let has_stepped_down = self.step_down_if_isolated(now, &leader, out);
-        (!has_stepped_down).then_some(leader)
+        let leadership = self.leader_compare()?;
+        let has_stepped_down = self.step_down_if_isolated(now, &leadership, out);
+        (!has_stepped_down).then_some(leadership)
     }
 
     fn maintain_leader_lease(&mut self, now: Micros, out: &mut Vec<Effect>) {
@@ -104,7 +109,7 @@
         }
     }
 
-    fn stand_for_leader(
+    fn campaign_for_leader(
         &mut self,
         now: Micros,
         incarnation: Revision,
@@ -115,7 +120,7 @@
             return;
         };
         let label = &self.configuration.settings.label;
-        let is_candidate = leader::may_campaign(
+        let may_campaign = leader::may_campaign(
             self.store.cache(),
             label,
             incarnation,
@@ -123,7 +128,7 @@
             now,
             self.candidate_state(now),
         );
-        if !is_candidate || !self.in_flight.begin_request(now, RequestKind::Candidacy) {
+        if !may_campaign || !self.in_flight.begin_request(now, RequestKind::Candidacy) {
             return;
         }
         let compares = vec![
@@ -158,8 +163,9 @@
         }
     }
 
-    /// Ends the leadership of this controller's earlier incarnation. That process is dead,
-    /// since this one took its place. True if the request has begun.
+    /// Ends the leadership of an earlier incarnation of this controller. The process of that
+    /// incarnation has ended, because this process has replaced it. Returns whether a request
+    /// was sent.
     fn end_earlier_leadership(
         &mut self,
         now: Micros,
@@ -177,16 +183,16 @@
         self.step_down(now, Compare::new(keys::LEADER.into(), revision), out)
     }
 
-    /// An isolated leader still reaches the store, but not those it leads. True if the
-    /// request has begun.
+    /// Steps down if this controller is isolated from its peers: such a leader may still reach
+    /// the store, but not the members that it leads. Returns whether a request was sent.
     fn step_down_if_isolated(
         &mut self,
         now: Micros,
-        leader: &Compare,
+        leadership: &Compare,
         out: &mut Vec<Effect>,
     ) -> bool {
         let has_stepped_down =
-            self.is_isolated_from_peers(now) && self.step_down(now, leader.clone(), out);
+            self.is_isolated_from_peers(now) && self.step_down(now, leadership.clone(), out);
         if has_stepped_down {
             tracing::info!(
                 reason = "no peer reachable",
@@ -196,12 +202,12 @@
         has_stepped_down
     }
 
-    fn step_down(&mut self, now: Micros, leader: Compare, out: &mut Vec<Effect>) -> bool {
+    fn step_down(&mut self, now: Micros, leadership: Compare, out: &mut Vec<Effect>) -> bool {
         let has_begun = self.in_flight.begin_request(now, RequestKind::StepDown);
         if has_begun {
             out.push(critical_write(
                 StoreOperation::StepDown,
-                vec![leader],
+                vec![leadership],
                 vec![Mutation::delete(keys::LEADER.into())],
             ));
         }
--- a/src/controller/core/leadership.rs
+++ b/src/controller/core/leadership.rs
@@ -1,7 +1,7 @@
-//! What only the leader does, and the state that only it needs.
+//! The work that only the leader does, and the state that only the leader needs.
 //!
-//! Every controller keeps that state, so that it can lead at once. All that a leader writes is
-//! conditional on its leadership, so one that has been replaced changes nothing.
+//! Every controller keeps this state, so that it can lead as soon as it is elected. All writes of
+//! a leader are conditional on its leadership, so a leader that has been replaced changes nothing.
 
 use super::Core;
 use super::format_level::SeenFormatLevels;
@@ -13,7 +13,7 @@
 use crate::settings::Settings;
 use crate::store::Compare;
 
-/// The state that only a leader needs.
+/// State that only the leader needs.
 pub(super) struct LeaderState {
     pub(super) autoscaler: Autoscaler,
     pub(super) format_levels: SeenFormatLevels,
@@ -21,7 +21,7 @@
 }
 
 impl LeaderState {
-    /// The state of a controller that has never led.
+    /// Creates the state of a controller that has never led.
     pub(super) fn new(settings: &Settings, policy: &Policy) -> Self {
         LeaderState {
             autoscaler: Autoscaler::new(settings, policy),
@@ -32,11 +32,17 @@
 }
 
 impl Core {
-    /// Grants partitions, raises the format level, and scales the fleet.
-    pub(super) fn act_as_leader(&mut self, now: Micros, leader: &Compare, out: &mut Vec<Effect>) {
-        self.grant_partitions(now, leader, out);
-        self.raise_format_level(now, leader, out);
+    /// Grants partitions, raises the format level, refreshes the machine types and scales the
+    /// fleet.
+    pub(super) fn act_as_leader(
+        &mut self,
+        now: Micros,
+        leadership: &Compare,
+        out: &mut Vec<Effect>,
+    ) {
+        self.grant_partitions(now, leadership, out);
+        self.raise_format_level(now, leadership, out);
         self.refresh_machine_types(now, out);
-        self.run_autoscaler(now, leader, out);
+        self.run_autoscaler(now, leadership, out);
     }
 }
--- a/src/controller/core/machine_types.rs
+++ b/src/controller/core/machine_types.rs
@@ -1,7 +1,8 @@
-//! The list of machine types, from the cloud or from the store, and the capacity of the fleet
-//! by it.
+//! The list of machine types, from the cloud or from the store, and the fleet capacity that is
+//! computed from it.
 //!
-//! It owns the list that this controller works with. Without one it owns no partition.
+//! It owns the list that this controller uses. A controller without a list acquires no
+//! partitions.
 
 use super::Core;
 use super::in_flight::RequestKind;
@@ -14,12 +15,12 @@
 use crate::watch_cache::WatchCache;
 use std::sync::Arc;
 
-/// Spot prices move: the leader requests them again after this.
+/// Interval at which the leader requests the machine types again, because spot prices change.
 const MACHINE_TYPE_REFRESH_INTERVAL: Micros = Micros::from_millis(60_000);
-/// A request that failed is made again after this.
+/// Delay before a failed request for the machine types is retried.
 const MACHINE_TYPE_RETRY_DELAY: Micros = Micros::from_millis(1_000);
 
-/// The machine types and what the fleet adds up to.
+/// The machine types and the total capacity of the fleet.
 #[derive(Debug, Default)]
 pub(super) struct MachineTypeList {
     types: Option<MachineTypes>,
@@ -28,22 +29,22 @@
 }
 
 impl MachineTypeList {
-    /// The machine types, once they are known.
+    /// Returns the machine types; `None` while they are unknown.
     pub(super) fn types(&self) -> Option<&MachineTypes> {
         self.types.as_ref()
     }
 
-    /// The machine types, or none.
+    /// Returns the machine types, or an empty list while they are unknown.
     pub(super) fn types_or_empty(&self) -> MachineTypes {
         self.types.clone().unwrap_or_default()
     }
 
-    /// What all recorded machines have together.
+    /// Returns the total capacity of all recorded machines.
     pub(super) fn fleet_capacity(&self) -> Resources {
         self.fleet_capacity
     }
 
-    /// Takes over the list that the store has.
+    /// Adopts the list that is recorded in the store, if there is one.
     pub(super) fn adopt_recorded(&mut self, cache: &WatchCache) {
         if let Some(Versioned {
             record: recorded, ..
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Adds up all recorded machines again.
+    /// Recomputes the total capacity of all recorded machines. Machines of unknown types count
+    /// as nothing.
     pub(super) fn update_fleet_capacity(&mut self, cache: &WatchCache) {
         let Some(types) = &self.types else {
             return;
@@ -83,7 +85,8 @@
         }
     }
 
-    /// The leader requests the machine types again after an interval.
+    /// Requests the machine types again if the refresh interval has passed. Only the leader calls
+    /// this.
     pub(super) fn refresh_machine_types(&mut self, now: Micros, out: &mut Vec<Effect>) {
         let list = &mut self.machine_types;
         if list.types.is_some()
@@ -95,7 +98,8 @@
         }
     }
 
-    /// Takes in the cloud's reply: the machine types here, all else goes to the autoscaler.
+    /// Handles a reply of the cloud. Replies to requests for the machine types are handled here,
+    /// all others by the autoscaler.
     pub(super) fn handle_cloud_reply(
         &mut self,
         now: Micros,
@@ -110,8 +114,8 @@
             return;
         }
         let CloudReply::MachineTypes(types) = reply else {
-            // Requested again after a while, or read from the store if another controller's
-            // request succeeded.
+            // The request is retried after a delay, unless another controller has recorded the
+            // list in the store by then.
             self.in_flight
                 .finish_after(now, RequestKind::MachineTypes, MACHINE_TYPE_RETRY_DELAY);
             return;
@@ -122,7 +126,7 @@
         self.reconcile_with_cache(now, out);
     }
 
-    /// Writes the machine types to the store if it has others.
+    /// Writes the machine types to the store, unless the same list is already recorded.
     fn record_machine_types(&self, types: &[MachineType], out: &mut Vec<Effect>) {
         let recorded = self.store.cache().types.as_ref();
         let (revision, known) = recorded.map_or(
--- a/src/controller/core/owned_partitions.rs
+++ b/src/controller/core/owned_partitions.rs
@@ -1,7 +1,7 @@
-//! The partitions that this controller owns, as the store's grants say.
+//! The partitions that this controller owns according to the grants in the store.
 //!
-//! A partition is acquired and lost only by what the cache shows. Replies to an earlier term
-//! never reach a partition.
+//! A partition is acquired or lost only when the cache shows a changed grant. Replies to
+//! requests of an earlier term are never passed to a partition.
 
 use super::Core;
 use crate::clock::Micros;
@@ -18,48 +18,48 @@
 }
 
 impl OwnedPartitions {
-    /// Whether no partition is owned.
+    /// Returns whether no partition is owned.
     pub(super) fn is_empty(&self) -> bool {
         self.partitions.is_empty()
     }
 
-    /// How many partitions are owned.
+    /// Returns the number of owned partitions.
     pub(super) fn len(&self) -> usize {
         self.partitions.len()
     }
 
-    /// The ids of the owned partitions, in their order.
+    /// Returns the ids of the owned partitions in ascending order.
     pub(super) fn ids(&self) -> Vec<PartitionId> {
         self.partitions.keys().copied().collect()
     }
 
-    /// The highest id of the owned partitions.
+    /// Returns the highest id of the owned partitions; `None` if no partition is owned.
     pub(super) fn last_id(&self) -> Option<PartitionId> {
         self.partitions.keys().next_back().copied()
     }
 
-    /// The owned partitions, in the order of their ids.
+    /// Returns the owned partitions in the order of their ids.
     pub(super) fn values(&self) -> impl Iterator<Item = &OwnedPartition> {
         self.partitions.values()
     }
 
-    /// The owned partitions, in the order of their ids.
+    /// Returns the owned partitions for modification, in the order of their ids.
     pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut OwnedPartition> {
         self.partitions.values_mut()
     }
 
-    /// A partition, if it is owned.
+    /// Returns a partition; `None` if it is not owned.
     pub(super) fn get_mut(&mut self, id: PartitionId) -> Option<&mut OwnedPartition> {
         self.partitions.get_mut(&id)
     }
 
-    /// A partition, if it is owned under this term.
+    /// Returns a partition; `None` if it is not owned under the given term.
     pub(super) fn in_term(&mut self, id: PartitionId, term: Term) -> Option<&mut OwnedPartition> {
         self.get_mut(id)
             .filter(|partition| partition.term() == term)
     }
 
-    /// Drops the partitions whose term the store does not grant to this controller any more.
+    /// Drops the partitions that are no longer granted to this controller under the same term.
     fn drop_lost(&mut self, granted: &BTreeMap<PartitionId, Term>) {
         self.partitions.retain(|id, partition| {
             let is_granted = granted.get(id) == Some(&partition.term());
@@ -72,7 +72,7 @@
 }
 
 impl Core {
-    /// Takes over grants and losses of partitions that the cache shows.
+    /// Updates the owned partitions from the grants in the cache.
     pub(super) fn update_ownership(&mut self, now: Micros) {
         let owners = self.store.cache().partition_owners.iter();
         let granted = owners
@@ -83,8 +83,8 @@
         self.acquire_granted_partitions(now);
     }
 
-    /// Fails granted partitions over to this controller. Without the machine types it can't
-    /// know what their machines hold, so the partitions wait.
+    /// Fails granted partitions over to this controller. While the machine types are unknown,
+    /// the capacity of the machines is unknown too, so no partition is acquired yet.
     fn acquire_granted_partitions(&mut self, now: Micros) {
         let Some(types) = self.machine_types.types() else {
             return;
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Whether a partition is granted to this incarnation of this controller.
+    /// Returns whether a partition is granted to this incarnation of this controller.
     fn is_own_grant(&self, record: &PartitionOwnerRecord) -> bool {
         record.owner == self.configuration.settings.label
             && Some(record.incarnation) == self.membership.incarnation()
--- a/src/controller/core/partition_grants.rs
+++ b/src/controller/core/partition_grants.rs
@@ -1,7 +1,7 @@
-//! The leader grants partitions without a living owner to members.
+//! Grants by the leader: partitions without a live owner are granted to members.
 //!
-//! It decides when grants may be written; which member gets a partition is for `leader` to
-//! decide. It never grants what a living member owns.
+//! This module decides when grants may be written. The module `leader` decides which member is
+//! granted a partition. A partition that a live member owns is never granted.
 
 use super::Core;
 use super::effects::critical_write;
@@ -11,17 +11,18 @@
 use crate::leader;
 use crate::store::{Compare, Reply};
 
-/// So long a new leader waits for the other members to join before its first grants.
+/// Time that a new leader waits for the other members to join before its first grants.
 const INITIAL_JOIN_TIMEOUT: Micros = Micros::from_millis(2_000);
-/// Until the cache shows them, the same grants would be tried again.
+/// Delay after committed grants before the next grants. Without it, the leader would try to write
+/// the same grants again before the cache shows them.
 const COMMITTED_GRANTS_DELAY: Micros = Micros::from_millis(600);
 
 impl Core {
-    /// Grants every partition without a living owner, as far as one transaction goes.
+    /// Grants the partitions without a live owner, as many as fit into one transaction.
     pub(super) fn grant_partitions(
         &mut self,
         now: Micros,
-        leader: &Compare,
+        leadership: &Compare,
         out: &mut Vec<Effect>,
     ) {
         let partition_count = self.configuration.partition_count();
@@ -30,7 +31,7 @@
         }
         let grants = leader::grant_partitions(
             self.store.cache(),
-            leader.clone(),
+            leadership.clone(),
             &self.configuration.settings,
             partition_count,
             &|label| self.is_member_fit(now, label),
@@ -48,8 +49,9 @@
         }
     }
 
-    /// At the very start, and after all members were lost, others are about to join: one
-    /// member alone would get what is too much for one.
+    /// Returns whether grants may be written now. At the first start of the deployment, and after
+    /// all members were lost, further members are about to join. If the leader did not wait for
+    /// them, a single member would be granted more partitions than it can serve.
     fn may_grant_partitions(&self, now: Micros, partition_count: u64) -> bool {
         let cache = self.store.cache();
         let members = cache.members.len();
@@ -59,7 +61,7 @@
             || now.since(leading_since) > INITIAL_JOIN_TIMEOUT
     }
 
-    /// Takes in the reply to a write of grants.
+    /// Handles the reply to a write of grants.
     pub(super) fn handle_grants_reply(&mut self, now: Micros, reply: &Reply) {
         let kind = RequestKind::PartitionGrants;
         if matches!(reply, Reply::Committed(_)) {
--- a/src/controller/core/partition_rebalancing.rs
+++ b/src/controller/core/partition_rebalancing.rs
@@ -1,7 +1,7 @@
-//! Handing partitions back: all if no machine of theirs is reachable, one if another member
-//! owns fewer.
+//! Handing partitions back to the leader. All owned partitions are handed back if one of them
+//! has no reachable machine. A single partition is handed back if another member owns fewer.
 //!
-//! It owns whether this controller's workers are reachable. A partition that was handed back
+//! It records whether this controller's workers are reachable. A partition that was handed back
 //! stays owned until the store shows another grant.
 
 use super::Core;
@@ -13,17 +13,18 @@
 use crate::partition_owner::OwnedPartition;
 use crate::store::Versioned;
 
-/// Workers that were found unreachable count as that for so long.
+/// Time for which the workers count as unreachable after they were found to be unreachable.
 const UNREACHABLE_DURATION: Micros = Micros::from_millis(30_000);
-/// A partition is handed back for balance only if all owned ones were granted at least this
-/// long ago.
-const SETTLING_TIMEOUT: Micros = Micros::from_millis(5_000);
-/// Partitions are handed back for balance no faster than this.
+/// Age that the grants of all owned partitions must exceed before one is handed back for balance.
+const MIN_GRANT_AGE: Micros = Micros::from_millis(5_000);
+/// Minimum interval between two hand-backs for balance.
 const REBALANCE_INTERVAL: Micros = Micros::from_millis(10_000);
-/// Another member must own fewer partitions by so many before one is handed back.
+/// Minimum difference between the numbers of partitions that this controller and another member
+/// own before one is handed back.
 const MIN_IMBALANCE: usize = 2;
 
-/// When partitions were handed back for which reason.
+/// Reachability of this controller's workers, and when it last handed a partition back for
+/// balance.
 #[derive(Debug, Default)]
 pub(super) struct PartitionRebalancing {
     workers_unreachable_until: Micros,
@@ -31,28 +32,32 @@
 }
 
 impl PartitionRebalancing {
-    /// False if lately none of a partition's machines sent a heartbeat.
+    /// Returns whether this controller's workers are reachable. They are not for some time after
+    /// no machine of an owned partition sent heartbeats.
     pub(super) fn are_workers_reachable(&self, now: Micros) -> bool {
         now >= self.workers_unreachable_until
     }
 }
 
 impl Core {
-    /// Hands back all partitions, one, or none, and repeats what has no answer yet.
+    /// Hands back all partitions, one, or none, and repeats hand-backs without a definite reply.
     pub(super) fn rebalance_partitions(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if self.has_isolated_partition(now) {
             self.hand_back_all_partitions(now, out);
             return;
         }
-        // What was requested without an answer must be settled one way or the other.
+        // A hand-back that may or may not have been carried out must be requested again until its
+        // outcome is known.
         self.hand_back(now, OwnedPartition::is_being_handed_back, out);
         if self.may_hand_back_for_balance(now) {
             self.hand_back_last_partition(now, out);
         }
     }
 
-    /// Guards against a partition stuck with an owner that is reached neither by its machines
-    /// nor by any peer: that others are in, the store says, too.
+    /// Returns whether an owned partition receives no heartbeats of its machines, while there are
+    /// other members that could own it. Without this check, a partition would stay with an owner
+    /// that neither its machines nor any peer can reach. The members are therefore taken from the
+    /// store, not from gossip.
     fn has_isolated_partition(&self, now: Micros) -> bool {
         let has_other_members = self.store.cache().members.len() >= 2;
         let mut partitions = self.partitions.values();
@@ -77,14 +82,14 @@
         let members = self.store.cache().members.keys();
         let counts = members
             .filter(|label| **label != settings.label)
-            .filter(|label| self.is_member_fit(now, label) && self.peers.is_known(label))
+            .filter(|label| self.is_member_fit(now, label) && self.peers.has_sent_state(label))
             .map(|label| self.owned_partition_count(label));
         let Some(min_count) = counts.min() else {
             return false;
         };
         self.partitions.len() >= min_count + MIN_IMBALANCE
             && self.partitions.values().all(|partition| {
-                !partition.is_recovering() && now.since(partition.granted_at()) > SETTLING_TIMEOUT
+                !partition.is_recovering() && now.since(partition.granted_at()) > MIN_GRANT_AGE
             })
             && now.since(self.rebalancing.last_rebalanced_at) > REBALANCE_INTERVAL
     }
--- a/src/controller/core/peers.rs
+++ b/src/controller/core/peers.rs
@@ -1,45 +1,46 @@
-//! The liveness of the other controllers, by their gossip and their membership.
+//! The liveness of the other controllers, derived from their gossip and their membership.
 //!
-//! It owns what each peer sent last and when each member joined. It makes decisions faster,
-//! or decides where a partition goes; it never entitles anybody to act.
+//! It records the last state that each peer sent and when each member joined. This information
+//! only speeds up decisions and helps to select the owner of a partition. It never entitles a
+//! controller to act.
 
 use crate::clock::Micros;
 use crate::ids::{Label, PartitionId, Revision};
 use crate::mesh::{PartitionState, PeerState};
 use std::collections::BTreeMap;
 
-/// A peer that sent nothing for so long counts as silent.
+/// Time without gossip after which a peer counts as silent.
 const PEER_TIMEOUT: Micros = Micros::from_millis(5_000);
-/// A peer's state that is older says nothing of its access to the store.
+/// Age up to which a peer's state is evidence of its access to the store.
 const PEER_STATE_VALIDITY: Micros = Micros::from_millis(3_000);
-/// Without gossip of any other member for so long, this controller counts as isolated.
+/// Time without gossip of any other member after which this controller counts as isolated.
 const ISOLATION_TIMEOUT: Micros = Micros::from_millis(8_000);
 
-/// What a peer sent last.
+/// The last state that a peer sent.
 #[derive(Debug)]
 struct PeerRecord {
     received_at: Micros,
     state: PeerState,
 }
 
-/// When a member was first seen in its present incarnation.
+/// The current incarnation of a member, and when it was first seen.
 #[derive(Debug)]
 struct Join {
     incarnation: Revision,
     seen_at: Micros,
 }
 
-/// The peers as this controller knows them.
+/// The peers as this controller observes them.
 #[derive(Debug)]
 pub(super) struct PeerTable {
     records: BTreeMap<Label, PeerRecord>,
     joins: BTreeMap<Label, Join>,
-    /// When this controller started: no peer could send to it before.
+    /// Start of this controller. No peer could send gossip to it before.
     started_at: Micros,
 }
 
 impl PeerTable {
-    /// A table of a controller that has just started.
+    /// Creates the table of a controller that has just started.
     pub(super) fn new(started_at: Micros) -> Self {
         PeerTable {
             records: BTreeMap::new(),
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Records the state that a peer has sent.
+    /// Records a state that a peer has sent.
     pub(super) fn record_state(&mut self, now: Micros, state: PeerState) {
         let record = PeerRecord {
             received_at: now,
@@ -57,7 +58,8 @@
         self.records.insert(record.state.sender.clone(), record);
     }
 
-    /// Records that a member has been seen in the store, if its incarnation is new.
+    /// Records a member that the store shows. Only the first time that an incarnation is seen
+    /// counts.
     pub(super) fn record_member(&mut self, now: Micros, label: &Label, incarnation: Revision) {
         let known = self.joins.get(label);
         if known.is_none_or(|join| join.incarnation != incarnation) {
@@ -69,18 +71,18 @@
         }
     }
 
-    /// Whether a peer has ever sent its state.
-    pub(super) fn is_known(&self, label: &Label) -> bool {
+    /// Returns whether a peer has ever sent its state.
+    pub(super) fn has_sent_state(&self, label: &Label) -> bool {
         self.records.contains_key(label)
     }
 
-    /// Whether a peer has sent nothing of late.
+    /// Returns whether a peer has sent no state within the peer timeout.
     pub(super) fn is_silent(&self, now: Micros, label: &Label) -> bool {
         self.is_silent_for(now, label, PEER_TIMEOUT)
     }
 
-    /// Whether a peer shows signs of life and reaches the store and its workers. One that
-    /// has just joined gets the time to send its first state.
+    /// Returns whether a peer is alive and reaches the store and its workers. A peer that has
+    /// just joined counts as fit until it sends its first state, for the peer timeout at most.
     pub(super) fn is_fit(&self, now: Micros, label: &Label) -> bool {
         let joined_at = self
             .joins
@@ -89,13 +91,14 @@
         let Some(PeerRecord { received_at, state }) = self.records.get(label) else {
             return now.since(joined_at) < PEER_TIMEOUT;
         };
-        let is_able = state.workers_reachable && state.store_reachable;
+        let is_connected = state.workers_reachable && state.store_reachable;
         now.since((*received_at).max(joined_at)) < PEER_TIMEOUT
-            && (is_able || joined_at > *received_at)
+            && (is_connected || joined_at > *received_at)
     }
 
-    /// Whether none of the other members sends anything, though there are some: this
-    /// controller may be isolated. `since` is when it began to depend on them.
+    /// Returns whether there are other members, but none of them has sent a state within the
+    /// isolation timeout, so that this controller may be isolated. The timeout begins at `since`
+    /// at the earliest; `None` means at the start of this controller.
     pub(super) fn are_all_silent<'a>(
         &self,
         now: Micros,
@@ -115,13 +118,13 @@
             .is_none_or(|record| now.since(record.received_at) > span)
     }
 
-    /// Whether any peer has sent its state of late.
+    /// Returns whether any peer has sent its state recently.
     pub(super) fn has_recent_state(&self, now: Micros) -> bool {
         self.recent_states(now).next().is_some()
     }
 
-    /// Whether a peer of late reached the store.
-    pub(super) fn reaches_store(&self, now: Micros) -> bool {
+    /// Returns whether any peer has recently reported that it reaches the store.
+    pub(super) fn any_peer_reaches_store(&self, now: Micros) -> bool {
         self.recent_states(now).any(|state| state.store_reachable)
     }
 
@@ -134,7 +137,7 @@
             .map(|record| &record.state)
     }
 
-    /// What the peers sent of their partitions, with the moment of its receipt.
+    /// Returns the partition states that the peers sent last, with the times of their receipt.
     fn partition_states(&self) -> impl Iterator<Item = PartitionState> {
         self.records.values().flat_map(|record| {
             let partitions = record.state.partitions.iter();
@@ -145,8 +148,8 @@
         })
     }
 
-    /// The newest state of every partition: of the highest term, and of that the one
-    /// received last.
+    /// Returns the newest state of every partition, from the peers' states and `own`. The newest
+    /// state is the one with the highest term; among equal terms, the one received last.
     pub(super) fn newest_partition_states(
         &self,
         own: Vec<PartitionState>,
--- a/src/controller/core/peers/tests.rs
+++ b/src/controller/core/peers/tests.rs
@@ -1,3 +1,7 @@
+//! Guards against wrong conclusions from gossip: a dead peer that counts as fit, a peer that has
+//! just joined and does not, a controller without peers that considers itself isolated, and an
+//! outdated partition state that replaces a newer one.
+
 use super::PeerTable;
 use crate::clock::Micros;
 use crate::ids::{Label, PartitionId, Revision, Term};
@@ -79,10 +83,13 @@
     let newest = peers.newest_partition_states(Vec::new());
     let newest_with_own = peers.newest_partition_states(own);
 
-    let of = |states: &std::collections::BTreeMap<PartitionId, PartitionState>| {
+    let term_and_receipt = |states: &std::collections::BTreeMap<PartitionId, PartitionState>| {
         let state = &states[&PartitionId(0)];
         (state.term, state.received_at)
     };
-    assert_eq!(of(&newest), (Term(3), at_millis(1_000)));
-    assert_eq!(of(&newest_with_own), (Term(3), at_millis(3_000)));
+    assert_eq!(term_and_receipt(&newest), (Term(3), at_millis(1_000)));
+    assert_eq!(
+        term_and_receipt(&newest_with_own),
+        (Term(3), at_millis(3_000))
+    );
 }
--- a/src/controller/core/periodic_checks.rs
+++ b/src/controller/core/periodic_checks.rs
@@ -1,8 +1,7 @@
-//! What a controller does as time passes, without any message: its periodic checks, in their
-//! order.
+//! The periodic checks of a controller, which run on every tick in a fixed order.
 //!
-//! Outside its lease a controller only keeps its membership up, answers users and sends gossip;
-//! it must not act for its partitions.
+//! Outside its lease, a controller only maintains its membership, answers users, reads data that
+//! it lacks, and sends gossip that it is alive. It must not act for its partitions.
 
 use super::Core;
 use super::effects::{partition_effect, read_index_effect};
@@ -11,7 +10,7 @@
 use crate::store::RequestPriority;
 
 impl Core {
-    /// Runs all checks that are due.
+    /// Runs the periodic checks that are due.
     pub(super) fn run_periodic_checks(
         &mut self,
         now: Micros,
@@ -28,8 +27,8 @@
             return;
         }
         self.sync_zones(now);
-        if let Some(leader) = self.run_leader_election(now, out) {
-            self.act_as_leader(now, &leader, out);
+        if let Some(leadership) = self.run_leader_election(now, out) {
+            self.act_as_leader(now, &leadership, out);
         }
         self.commit_zone_states(now, wall_clock, out);
         self.run_owned_partitions(now, wall_clock, out);
@@ -53,8 +52,8 @@
         out.extend(expired.into_iter().map(read_index_effect));
     }
 
-    /// Decisions and writes of the owned partitions. Not after each message: what many
-    /// messages changed is decided once.
+    /// Runs the owned partitions and collects their commands, writes and reads. This happens on
+    /// ticks and not after each input, so that one decision covers the changes of many inputs.
     fn run_owned_partitions(&mut self, now: Micros, wall_clock: Micros, out: &mut Vec<Effect>) {
         let fleet = self.machine_types.fleet_capacity();
         let send_before = self.may_act_until();
--- a/src/controller/core/store_reader.rs
+++ b/src/controller/core/store_reader.rs
@@ -1,7 +1,8 @@
-//! What the watch has read of the store, and what follows from each read.
+//! The cache of the store's records, and the updates of the core after each read of the store.
 //!
-//! It owns the cache and how far it has come. Nothing is decided by the cache alone: each
-//! write names the revisions that it relies on.
+//! It owns the cache and the revision that the cache has reached. The cache may lag behind the
+//! store, so no decision rests on the cache alone: each write names the revisions that it relies
+//! on.
 
 use super::Core;
 use crate::clock::Micros;
@@ -10,36 +11,36 @@
 use crate::store::{Versioned, WatchEvent};
 use crate::watch_cache::{CacheChange, WatchCache};
 
-/// Without a read of the store for so long, job lookups are refused at once.
+/// Age of the last read of the store from which on job lookups are refused at once.
 const MAX_STALENESS: Micros = Micros::from_millis(3_000);
 
-/// The cache and its progress.
+/// The cache, and how current it is.
 #[derive(Debug, Default)]
 pub(super) struct StoreReader {
     cache: WatchCache,
-    /// The store's revision that the cache has reached.
+    /// Store revision that the cache has reached.
     applied_revision: Revision,
-    /// When the read that reached it was requested.
+    /// Time at which the last read was requested.
     last_read_at: Micros,
 }
 
 impl StoreReader {
-    /// The store's records as they were last read.
+    /// Returns the store's records as they were last read.
     pub(super) fn cache(&self) -> &WatchCache {
         &self.cache
     }
 
-    /// The store's revision that the cache has reached.
+    /// Returns the store revision that the cache has reached.
     pub(super) fn applied_revision(&self) -> Revision {
         self.applied_revision
     }
 
-    /// When the newest read was requested.
+    /// Returns the time at which the last read was requested.
     pub(super) fn last_read_at(&self) -> Micros {
         self.last_read_at
     }
 
-    /// Whether the store was read of late.
+    /// Returns whether the store was read recently.
     pub(super) fn is_fresh(&self, now: Micros) -> bool {
         self.cache.is_loaded() && now.since(self.last_read_at) < MAX_STALENESS
     }
@@ -50,8 +51,8 @@
         self.last_read_at = snapshot.requested_at;
     }
 
-    /// Applies events in their order; `revision` is reached with them. Revisions never go
-    /// back.
+    /// Applies events in their order, and returns the changed records. The events end at
+    /// `revision`; the applied revision never decreases.
     fn apply(&mut self, events: Vec<WatchEvent>, revision: Revision) -> ChangedRecords {
         let mut changed = ChangedRecords::default();
         for event in events {
@@ -62,13 +63,14 @@
     }
 }
 
-/// The records that a read has changed, in the order of the changes.
+/// Records that a read has changed, in the order of the changes.
 #[derive(Default)]
 struct ChangedRecords {
     jobs: Vec<JobId>,
     machine_shards: Vec<(PartitionId, u32)>,
     progress_pages: Vec<(JobId, u32)>,
-    has_others: bool,
+    /// Whether any other record has changed, such as a partition's owner.
+    has_other_changes: bool,
 }
 
 impl ChangedRecords {
@@ -77,13 +79,14 @@
             CacheChange::Job(job) => self.jobs.push(job),
             CacheChange::Shard(partition, shard) => self.machine_shards.push((partition, shard)),
             CacheChange::ProgressPage(job, page) => self.progress_pages.push((job, page)),
-            CacheChange::PartitionOwner(_) | CacheChange::Other => self.has_others = true,
+            CacheChange::PartitionOwner(_) | CacheChange::Other => self.has_other_changes = true,
         }
     }
 }
 
 impl Core {
-    /// Starts over from a full read.
+    /// Replaces the cache with the result of a full read and updates the state that depends on
+    /// it.
     pub(super) fn load_snapshot(
         &mut self,
         now: Micros,
@@ -102,8 +105,9 @@
         self.answer_job_lookups(requested_at, out);
     }
 
-    /// Guards against a partition built anew under the same term: its tokens and attempts
-    /// would repeat, and copies of old heartbeats would count.
+    /// Reloads the partitions that were owned before the full read, instead of creating them
+    /// again. A partition that was created again under the same term would issue the same fencing
+    /// tokens and attempt ids again, and would accept delayed copies of old heartbeats.
     fn reload_partitions(&mut self, now: Micros, owned_before: &[PartitionId]) {
         let types = self.machine_types.types_or_empty();
         for id in owned_before {
@@ -113,7 +117,7 @@
         }
     }
 
-    /// Takes in the changes since the last read.
+    /// Applies the changes since the last read and updates the state that depends on them.
     pub(super) fn apply_watch_events(
         &mut self,
         now: Micros,
@@ -129,8 +133,8 @@
         if !has_events {
             return;
         }
-        // Grants first: a partition that is no longer ours must not be given jobs.
-        if changed.has_others || !changed.machine_shards.is_empty() {
+        // Ownership is updated first: a partition that is no longer owned must not receive jobs.
+        if changed.has_other_changes || !changed.machine_shards.is_empty() {
             self.reconcile_with_cache(now, out);
         }
         self.reconcile_partitions(now, &changed);
@@ -138,7 +142,7 @@
         self.sync_dependencies(now, out);
     }
 
-    /// The owned partitions take in the changed records.
+    /// Passes the changed records to the owned partitions.
     fn reconcile_partitions(&mut self, now: Micros, changed: &ChangedRecords) {
         let types = self.machine_types.types_or_empty();
         let cache = self.store.cache();
@@ -157,8 +161,8 @@
         }
     }
 
-    /// After the cache, the machine types or the membership changed: what this controller
-    /// owns and leads, and the API's view.
+    /// Updates this controller's leadership, its owned partitions and the API's view after a
+    /// change of the cache, the machine types or the membership.
     pub(super) fn reconcile_with_cache(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.machine_types.adopt_recorded(self.store.cache());
         self.record_members(now);
--- a/src/controller/core/store_replies.rs
+++ b/src/controller/core/store_replies.rs
@@ -1,6 +1,6 @@
-//! The store's replies, each to the part that made the request.
+//! Routing of the store's replies to the components that made the requests.
 //!
-//! It decides nothing: what a reply means is known where the request was made.
+//! This module makes no decisions. The component that made a request interprets the reply.
 
 use super::Core;
 use super::in_flight::RequestKind;
@@ -11,7 +11,7 @@
 use crate::store::Reply;
 
 impl Core {
-    /// Passes a reply on to the part that made the request.
+    /// Passes a reply to the component that made the request.
     pub(super) fn handle_store_reply(
         &mut self,
         now: Micros,
--- a/src/controller/core/team_usage.rs
+++ b/src/controller/core/team_usage.rs
@@ -1,6 +1,8 @@
-//! The teams' usage of this controller's partitions, published in the store for the others.
+//! Publishes the teams' usage of this controller's partitions in the store, for the other
+//! controllers.
 //!
-//! It owns when it was published last. It never reads what the others publish.
+//! It records when the usage was last published. It never reads the usage that other
+//! controllers publish.
 
 use super::Core;
 use crate::clock::Micros;
@@ -8,23 +10,24 @@
 use crate::store::{Mutation, Request, RequestPriority, keys};
 use std::collections::BTreeMap;
 
+/// Interval between two publications of the teams' usage.
 const TEAM_USAGE_INTERVAL: Micros = Micros::from_millis(10_000);
 
-/// When the teams' usage was published last.
+/// Schedule of the publications of the teams' usage.
 #[derive(Debug)]
 pub(super) struct TeamUsagePublisher {
     last_published_at: Micros,
 }
 
 impl TeamUsagePublisher {
-    /// The first is published an interval after the start.
+    /// Creates the schedule. The first publication is due one interval after the start.
     pub(super) fn new(started_at: Micros) -> Self {
         TeamUsagePublisher {
             last_published_at: started_at,
         }
     }
 
-    /// Whether the usage is to be published now; if so, next after an interval.
+    /// Returns whether a publication is due. If so, the next is due one interval later.
     fn begin_if_due(&mut self, now: Micros) -> bool {
         let is_due = now.since(self.last_published_at) >= TEAM_USAGE_INTERVAL;
         if is_due {
@@ -35,7 +38,8 @@
 }
 
 impl Core {
-    /// Publishes the usage, if an interval has passed.
+    /// Publishes the teams' usage and logs the usage of the partitions, if the interval has
+    /// passed.
     pub(super) fn publish_team_usage_if_due(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if !self.team_usage.begin_if_due(now) {
             return;
--- a/src/controller/core/zones.rs
+++ b/src/controller/core/zones.rs
@@ -1,8 +1,9 @@
-//! Zone failover, where it is on: what this controller observes of the zones, what the leader
-//! commits, and what the owned partitions are given.
+//! Connects the zone failover subsystem to the core, if the subsystem is enabled. Sends this
+//! controller's evidence on the zones, commits the zones' states on the leader, and passes the
+//! states to the owned partitions.
 //!
-//! It owns no state: that is in the subsystem. While this controller may itself be isolated, it
-//! gives no evidence against any zone.
+//! This module holds no state; the subsystem does. While this controller may itself be isolated,
+//! its evidence contains no counts for any zone.
 
 use super::Core;
 use crate::autoscaler;
@@ -15,15 +16,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use zone_failover::evidence::ZoneCounts;
 
-/// The other members of a zone.
+/// Counts of the peers in a zone.
 #[derive(Debug, Default, Clone, Copy)]
 struct PeerCounts {
+    /// Number of members other than this controller.
     peers: u32,
+    /// Number of those that have sent no gossip within the peer timeout.
     silent_peers: u32,
 }
 
 impl Core {
-    /// Takes in what was read of the zones, and passes it to the owned partitions.
+    /// Updates the zones' states from the cache if an update is due, and passes the states to the
+    /// owned partitions.
     pub(super) fn sync_zones(&mut self, now: Micros) {
         let Some(zones) = &mut self.zones else {
             return;
@@ -34,22 +38,22 @@
         }
     }
 
-    /// The leader decides on the zones' states and commits them.
+    /// Decides on the zones' states and commits them, if this controller leads.
     pub(super) fn commit_zone_states(
         &mut self,
         now: Micros,
         wall_clock: Micros,
         out: &mut Vec<Effect>,
     ) {
-        let leader = self.leader_compare();
+        let leadership = self.leader_compare();
         let Some(zones) = &mut self.zones else {
             return;
         };
-        let Some(leader) = leader else {
+        let Some(leadership) = leadership else {
             zones.stop_leading(now);
             return;
         };
-        let Some((compares, mutations)) = zones.decide(now, wall_clock, &leader) else {
+        let Some((compares, mutations)) = zones.decide(now, wall_clock, &leadership) else {
             return;
         };
         out.push(Effect::StoreRequest {
@@ -62,14 +66,15 @@
         });
     }
 
-    /// Takes in the reply to a commit of the zones' states.
+    /// Handles the reply to a commit of the zones' states.
     pub(super) fn handle_zones_reply(&mut self, now: Micros, reply: &Reply) {
         if let Some(zones) = &mut self.zones {
             zones.handle_commit_reply(now, reply);
         }
     }
 
-    /// What this controller observes of the zones, for itself and for its peers.
+    /// Records this controller's evidence on the zones and returns the message that sends it to
+    /// the peers; `None` if zone failover is disabled.
     pub(super) fn zone_evidence(&mut self, now: Micros) -> Option<Effect> {
         self.zones.as_ref()?;
         let counts = self.zone_counts(now);
@@ -80,7 +85,8 @@
     }
 
     fn zone_counts(&self, now: Micros) -> Vec<ZoneCounts> {
-        // Guards against taking our own isolation for the loss of all zones but ours.
+        // The isolation of this controller looks like the loss of all zones but its own, so an
+        // isolated controller reports no counts.
         let is_isolated =
             !self.rebalancing.are_workers_reachable(now) || self.is_isolated_from_peers(now);
         if is_isolated || !self.store.is_fresh(now) {
@@ -106,7 +112,7 @@
             .collect()
     }
 
-    /// The machines of the owned partitions, by zone.
+    /// Counts the machines of the owned partitions by zone.
     fn machines_by_zone(&self, now: Micros) -> BTreeMap<ZoneId, MachineCounts> {
         let mut by_zone: BTreeMap<ZoneId, MachineCounts> = BTreeMap::new();
         let partitions = self.partitions.values();
@@ -119,7 +125,7 @@
         by_zone
     }
 
-    /// The other controllers that take part, and those of them that are silent, by zone.
+    /// Counts the other members, and the silent ones among them, by zone.
     fn peers_by_zone(&self, now: Micros) -> BTreeMap<ZoneId, PeerCounts> {
         let mut by_zone: BTreeMap<ZoneId, PeerCounts> = BTreeMap::new();
         for seed in &self.configuration.settings.seeds {
@@ -136,9 +142,9 @@
         by_zone
     }
 
-    /// Records scale-outs that are about to begin in a lost zone, to find out whether it is
-    /// back.
-    pub(super) fn note_zone_probes(&mut self, now: Micros, effects: &[autoscaler::Effect]) {
+    /// Records scale-outs that are about to begin, with their zones. A scale-out in a lost zone is
+    /// a probe of whether the zone has recovered.
+    pub(super) fn record_zone_probes(&mut self, now: Micros, effects: &[autoscaler::Effect]) {
         let Some(zones) = &mut self.zones else {
             return;
         };
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -1,19 +1,19 @@
-//! Commands that go straight to a worker, without waiting for its next heartbeat.
+//! Direct commands: commands that are sent to a worker without waiting for its next heartbeat.
 //!
-//! Each is sent at most once: whether it is repeated is for the core to decide.
+//! Each command is sent at most once. The core decides whether to repeat a command.
 
 use super::messages::DirectAnswer;
 use crate::http_client::{ConnectionPool, HttpRequest, RequestError};
 use crate::workers::{DirectCommand, Heartbeat};
 use std::time::Duration;
 
-/// The request that carries a command to a worker.
+/// Returns the HTTP request that sends a command to a worker.
 pub(crate) fn direct_request(command: &DirectCommand) -> Result<HttpRequest, serde_json::Error> {
     let body = serde_json::to_value(command)?;
     Ok(HttpRequest::post("/do".into(), body))
 }
 
-/// Sends a command and waits for the worker's heartbeat after it, for `within` at most.
+/// Sends a command and waits at most `within` for the heartbeat by which the worker answers it.
 pub(super) async fn send_direct_command(
     worker: &ConnectionPool,
     command: DirectCommand,
--- a/src/controller/driver.rs
+++ b/src/controller/driver.rs
@@ -1,7 +1,8 @@
-//! Feeds the core and carries out what it decides.
+//! The driver: passes inputs to the core and carries out the effects that the core returns.
 //!
-//! It owns the clock, the clients and the channels. Whatever takes time runs in a task of its
-//! own and comes back as an input, so the core never waits.
+//! It owns the clock, the clients and the channels. Each operation that takes time runs in a
+//! separate task, and its result is sent to the core as an input. The core therefore never
+//! waits.
 
 use super::core::Core;
 use super::direct_commands::send_direct_command;
@@ -25,12 +26,12 @@
 use tokio::task::spawn_local;
 use tokio::time::MissedTickBehavior;
 
-/// How often the core runs its periodic checks.
+/// Interval between two runs of the core's periodic checks.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// A direct command without an answer is given up after this.
+/// Maximum time to wait for the answer to a direct command.
 const DIRECT_COMMAND_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Requests that wait for the core's answer, by the ids that the core knows them by.
+/// Requests that await an answer of the core, by the request ids that the core uses for them.
 pub(super) struct PendingAnswers<T> {
     answers: BTreeMap<u64, oneshot::Sender<T>>,
     last_id: u64,
@@ -46,14 +47,15 @@
 }
 
 impl<T> PendingAnswers<T> {
-    /// Remembers where an answer goes, under a new id.
+    /// Registers the channel for an answer and returns its new request id.
     fn insert(&mut self, answer: oneshot::Sender<T>) -> u64 {
         self.last_id += 1;
         self.answers.insert(self.last_id, answer);
         self.last_id
     }
 
-    /// Sends an answer to whoever waits for it, if anybody still does.
+    /// Sends the answer to a request. The answer is discarded if the requester no longer waits
+    /// for it.
     fn send(&mut self, id: u64, value: T) {
         if let Some(answer) = self.answers.remove(&id) {
             let _ = answer.send(value);
@@ -61,15 +63,15 @@
     }
 }
 
-/// The core with all that it needs to be fed and to be carried out.
+/// The core, with the clock, clients and channels that connect it to its surroundings.
 pub(super) struct Driver {
     pub(super) core: Core,
     pub(super) clock: MonotonicClock,
     pub(super) store: KvClient,
     pub(super) cloud: Rc<CloudClient>,
-    /// The core's inbox, for what comes back from the tasks.
+    /// Sending end of the core's input queue, for the results of spawned tasks.
     pub(super) inputs: mpsc::Sender<Input>,
-    /// A queue of frames for each peer.
+    /// Queues of outgoing frames, one for each peer.
     pub(super) peers: Vec<mpsc::Sender<Bytes>>,
     pub(super) view_out: watch::Sender<Arc<ApiView>>,
     pub(super) workers: ConnectionPools,
@@ -78,7 +80,8 @@
 }
 
 impl Driver {
-    /// Runs until the process ends. Ticks, replies and changes come before new work.
+    /// Runs until the process ends. Ticks come first, then replies, store changes and peers'
+    /// messages, and only then new requests: job lookups before heartbeats.
     pub(super) async fn run(
         mut self,
         mut inbox: mpsc::Receiver<Input>,
@@ -198,8 +201,8 @@
             return;
         };
         for peer in &self.peers {
-            // A peer whose queue is full gets the next one, and its watch gives it what it
-            // has to know.
+            // If the queue is full, the frame is dropped. The peer receives a later frame, and
+            // reads everything that it depends on from its own watch of the store.
             let _ = peer.try_send(frame.clone());
         }
     }
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -1,7 +1,7 @@
-//! The messages that go into the core and the effects that come out of it: types only.
+//! The types of the inputs that the core handles and of the effects that it returns.
 //!
-//! Whoever feeds the core converts to these types at its edge; the core knows no other way in
-//! or out.
+//! The driver converts requests, replies and messages to these types. The core has no other
+//! input or output.
 
 use crate::api::ports::{ApiView, HeartbeatAnswer};
 use crate::api::read_index::JobLookup;
@@ -15,204 +15,210 @@
 use crate::workers::{DirectCommand, Heartbeat};
 use std::sync::Arc;
 
-/// What a request to the store is for, as it comes back with the reply.
+/// Purpose of a request to the store. The driver returns it to the core with the reply.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreOperation {
-    /// This controller's membership.
+    /// A step of this controller's registration as a member, or the renewal of its lease.
     Membership,
-    /// The lease that the leader's key is attached to.
+    /// Grant or renewal of the lease that the leader's key is attached to.
     LeaderLease,
-    /// Becoming the leader.
+    /// Write of the leader's key, by which this controller becomes the leader.
     Candidacy,
-    /// Giving up leadership.
+    /// Deletion of the leader's key, which ends the leadership of this controller or of an
+    /// earlier incarnation of it.
     StepDown,
-    /// Grants of partitions.
+    /// Write of partition grants by the leader.
     PartitionGrants,
-    /// The list of machine types.
+    /// Write of the list of machine types.
     MachineTypes,
-    /// The teams' usage of this controller's partitions.
+    /// Write of the teams' usage of this controller's partitions.
     TeamUsage,
-    /// Handing a partition back.
+    /// Write by which the owner of a partition hands it back to the leader.
     HandBackPartition {
-        /// The partition.
+        /// The partition that is handed back.
         partition: PartitionId,
-        /// The term that it is owned under.
+        /// Term under which the partition is owned.
         term: Term,
     },
-    /// A write of a partition's owner.
+    /// Write by the owner of a partition.
     PartitionWrite {
-        /// The partition.
+        /// The partition of the owner that writes.
         partition: PartitionId,
-        /// The term that the write was made under.
+        /// Term under which the write was made.
         term: Term,
-        /// What was written.
+        /// Content of the write.
         write: partition_owner::Write,
     },
-    /// The record of an ended job that a user looks up.
+    /// Read of the record of an ended job that a user looks up.
     EndedJobLookup(JobId),
-    /// The record of a job that an owner does not know, but a machine of its partition runs.
+    /// Read of the ended record of a job that a machine of a partition reports, but that the
+    /// owner of the partition does not know.
     UnknownJob {
-        /// The partition.
+        /// The partition of the machine.
         partition: PartitionId,
-        /// The term that it is owned under.
+        /// Term under which the partition is owned.
         term: Term,
-        /// The job.
+        /// The job that the owner does not know.
         job: JobId,
     },
-    /// The record of an ended job that others depend on.
+    /// Read of the record of an ended job that other jobs depend on.
     DependencyEnd(JobId),
-    /// The format level that every controller understands.
+    /// Write of the format level that every controller understands.
     FormatLevel,
-    /// Deleting the progress pages of ended jobs.
+    /// Deletion of progress pages of ended jobs.
     GarbageCollection,
-    /// The states of all zones.
+    /// Write of the states of all zones.
     Zones,
-    /// A write of the autoscaler.
+    /// Write by the autoscaler.
     AutoscalerWrite {
-        /// The revision of the leader's key, which names the leadership.
+        /// Revision of the leader's key, which identifies the leadership under which the write
+        /// was made.
         leader_revision: Revision,
-        /// What was written.
+        /// Content of the write.
         write: autoscaler::Write,
     },
 }
 
-/// All of the store's records, read from the start.
+/// Result of a full read of the store.
 #[derive(Debug)]
 pub struct StoreSnapshot {
-    /// All that is below the root.
+    /// All keys below the root, with their values.
     pub entries: Vec<KeyValue>,
-    /// The revision that the read has reached.
+    /// Store revision after which the watch for changes begins.
     pub revision: Revision,
-    /// When the read was requested.
+    /// Monotonic time at which the read was requested.
     pub requested_at: Micros,
 }
 
-/// Changes of the store since the last read.
+/// Changes of the store since the last read, as a watch returned them.
 #[derive(Debug)]
 pub struct StoreChanges {
-    /// The changes in their order.
+    /// The changes, in the order of their revisions. Empty if nothing has changed.
     pub events: Vec<WatchEvent>,
-    /// The revision that the read has reached.
+    /// Store revision that the watch has reached.
     pub revision: Revision,
-    /// When the read was requested.
+    /// Monotonic time at which the watch was requested.
     pub requested_at: Micros,
 }
 
-/// What became of a direct command.
+/// Outcome of a direct command.
 #[derive(Debug)]
 pub enum DirectAnswer {
-    /// The worker's heartbeat after it.
+    /// Heartbeat by which the worker answered the command.
     Heartbeat(Heartbeat),
-    /// It was surely not sent.
+    /// The command was not sent, so the worker cannot receive it.
     NotSent,
-    /// It may still arrive.
+    /// There is no valid answer: the worker may have received the command, or may still
+    /// receive it.
     Indeterminate,
 }
 
-/// A message to the core.
+/// An input of the core.
 #[derive(Debug)]
 pub enum Input {
-    /// Time has passed.
+    /// Tick of the driver's timer, on which the core runs its periodic checks.
     Tick,
-    /// The store was read from the start.
+    /// Result of a full read of the store.
     Loaded(StoreSnapshot),
-    /// The store has changed, or has been read without a change.
+    /// Result of a watch of the store, with or without changes.
     Changes(StoreChanges),
-    /// The store's reply.
+    /// Reply of the store.
     StoreReply {
-        /// What the request was for.
+        /// Purpose of the request that the store replies to.
         operation: StoreOperation,
-        /// The reply.
+        /// Reply of the store.
         reply: Reply,
     },
-    /// A worker's heartbeat.
+    /// Heartbeat of a worker.
     Heartbeat {
-        /// The heartbeat.
+        /// Content of the heartbeat.
         heartbeat: Heartbeat,
-        /// Names the answer.
+        /// Id that the answer to the heartbeat must have.
         request_id: u64,
     },
-    /// A user looks up the state of a job.
+    /// Lookup of the state of a job by a user.
     JobLookup {
-        /// The job.
+        /// The job that is looked up.
         id: JobId,
-        /// Names the answer.
+        /// Id that the answer to the lookup must have.
         request_id: u64,
     },
-    /// What became of a direct command.
+    /// Outcome of a direct command.
     DirectCommandReply {
-        /// The partition that the machine was in.
+        /// The partition of the machine when the command was sent.
         partition: PartitionId,
-        /// The term under which the command was sent.
+        /// Term under which the command was sent.
         term: Term,
-        /// The machine that it was sent to.
+        /// The machine that the command was sent to.
         machine: MachineId,
-        /// The answer, or that there is none.
+        /// Answer of the worker, or why there is none.
         answer: DirectAnswer,
     },
-    /// The cloud's reply.
+    /// Reply of the cloud.
     CloudReply {
-        /// The request.
+        /// The request that the cloud replies to.
         request: CloudRequest,
-        /// The reply.
+        /// Reply of the cloud.
         reply: CloudReply,
     },
-    /// A peer's message.
+    /// Message from a peer.
     Mesh(Message),
-    /// The store has confirmed to a user here that a job is cancelled.
+    /// Cancellation of a job that a user of this controller requested and the store has
+    /// committed.
     Cancelled {
         /// The cancelled job.
         job: JobId,
-        /// The store's revision at which it was cancelled.
+        /// Store revision at which the job was cancelled.
         revision: Revision,
     },
 }
 
-/// What the core decided, for the driver to carry out.
+/// An effect that the core has decided on and the driver carries out.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Send a request to the store.
     StoreRequest {
-        /// Comes back with the reply.
+        /// Purpose of the request, which is returned with the reply.
         operation: StoreOperation,
-        /// The request.
+        /// The request to send.
         request: Request,
-        /// Which requests go first when the budget is short.
+        /// Priority of the request when the request budget does not suffice for all.
         priority: RequestPriority,
     },
     /// Answer a worker's heartbeat.
     AnswerHeartbeat {
-        /// Of the heartbeat.
+        /// Id of the heartbeat request.
         request_id: u64,
-        /// The answer.
+        /// Answer to the worker.
         answer: HeartbeatAnswer,
     },
     /// Answer a user's lookup of a job.
     AnswerJobLookup {
-        /// Of the lookup.
+        /// Id of the lookup request.
         request_id: u64,
-        /// The answer.
+        /// Result of the lookup.
         lookup: JobLookup,
     },
-    /// Send a direct command.
+    /// Send a direct command to a worker.
     SendDirectCommand {
-        /// The partition that the machine is in.
+        /// The partition of the machine.
         partition: PartitionId,
-        /// The term under which it is sent.
+        /// Term under which the command is sent.
         term: Term,
-        /// The machine that it is for.
+        /// The machine that the command is for.
         machine: MachineId,
-        /// The address of its worker.
+        /// Address of the machine's worker.
         addr: String,
-        /// The command.
+        /// The command to send.
         command: DirectCommand,
-        /// Not to be sent from then on: the owner's lease may have expired.
+        /// Time from which the command must not be sent, because the owner's lease may have
+        /// expired by then.
         send_before: Micros,
     },
     /// Send a request to the cloud.
     Cloud(CloudRequest),
     /// Send a message to all peers.
     Mesh(Message),
-    /// Publish the API's view of this controller.
+    /// Publish a new view of this controller's state to the API.
     PublishView(Arc<ApiView>),
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,7 +1,8 @@
-//! The controller: one core that decides, and the thin tasks around it.
+//! The controller: the core, which makes all decisions, and the tasks that do its input and
+//! output.
 //!
-//! This module starts them: the listeners, the tasks that feed the core, and the driver that
-//! carries out what it decides. It decides nothing itself.
+//! [`run`] starts the listeners, the tasks that feed the core, and the driver that carries out
+//! the core's effects. Nothing outside the core makes decisions.
 
 pub mod core;
 pub(crate) mod direct_commands;
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -1,4 +1,6 @@
 //! Starts a controller: its listeners, its tasks and its driver.
+//!
+//! It creates the channels that connect them. All channels are bounded.
 
 use super::core::Core;
 use super::driver::{Driver, PendingAnswers};
@@ -26,22 +28,23 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
 
-/// Messages to the core that wait: replies, changes of the store, peers' messages.
-const INPUT_QUEUE: usize = 1024;
-/// Workers' heartbeats that wait.
-const HEARTBEAT_QUEUE: usize = 1024;
-/// Users' lookups of jobs that wait.
-const JOB_LOOKUP_QUEUE: usize = 1024;
-/// The API's requests to the store that wait.
-const STORE_QUERY_QUEUE: usize = 256;
-/// Confirmed cancellations that wait.
-const CANCELLATION_QUEUE: usize = 256;
-/// Messages of all peers that wait.
-const PEER_MESSAGE_QUEUE: usize = 64;
-/// Frames to one peer that wait; the newest are dropped when it is full.
-const PEER_FRAME_QUEUE: usize = 32;
+/// Capacity of the queue of inputs to the core: replies, store changes and peers' messages.
+const INPUT_QUEUE_CAPACITY: usize = 1024;
+/// Capacity of the queue of workers' heartbeats.
+const HEARTBEAT_QUEUE_CAPACITY: usize = 1024;
+/// Capacity of the queue of users' job lookups.
+const JOB_LOOKUP_QUEUE_CAPACITY: usize = 1024;
+/// Capacity of the queue of the API's requests to the store.
+const STORE_QUERY_QUEUE_CAPACITY: usize = 256;
+/// Capacity of the queue of cancellations that the store has committed.
+const CANCELLATION_QUEUE_CAPACITY: usize = 256;
+/// Capacity of the queue of messages from all peers.
+const PEER_MESSAGE_QUEUE_CAPACITY: usize = 64;
+/// Capacity of the queue of frames to one peer. New frames are dropped while it is full.
+const PEER_FRAME_QUEUE_CAPACITY: usize = 32;
 
-/// An address can't be listened on, or its limits don't allow it.
+/// Failure to listen on an address, because of a socket error or because the configured limits
+/// leave too few sockets.
 #[derive(Debug, thiserror::Error)]
 #[error("can't listen on {addr}: {source}")]
 pub struct ListenError {
@@ -50,7 +53,7 @@
 }
 
 impl ListenError {
-    /// For use in `map_err`.
+    /// Returns a function for `map_err` that adds the address to an error.
     fn on<E: Into<Box<dyn Error + Send + Sync>>>(
         addr: impl Into<SocketAddr>,
     ) -> impl FnOnce(E) -> ListenError {
@@ -62,12 +65,12 @@
     }
 }
 
-/// Runs a controller until it is killed.
+/// Runs a controller until the process is killed.
 ///
 /// # Errors
 ///
-/// If it can't listen for users and workers or for its peers, or the limits of the settings
-/// leave too few sockets for that.
+/// Returns an error if the controller can't listen for users and workers or for its peers, or
+/// if the limits in the settings leave too few sockets for them.
 pub async fn run(
     settings: Settings,
     policy: Policy,
@@ -79,7 +82,7 @@
         .map_err(ListenError::on(settings.bind))?;
     let store = store_client(&settings, clock);
     let cloud = cloud_client(&settings, clock);
-    let (inputs, inbox) = mpsc::channel::<Input>(INPUT_QUEUE);
+    let (inputs, inbox) = mpsc::channel::<Input>(INPUT_QUEUE_CAPACITY);
     let (view_out, view) = watch::channel(Arc::new(ApiView::default()));
     let (channels, requests) = api_channels(view);
 
@@ -116,7 +119,8 @@
     Ok(())
 }
 
-/// This controller's client of the store, with its share of the budget that all have.
+/// Creates the client of the store. The store's request limits apply to all controllers
+/// together, so each controller gets an equal share of them.
 fn store_client(settings: &Settings, clock: MonotonicClock) -> KvClient {
     let platform = &settings.platform;
     let share = 1.0 / platform.initial_size.max(1) as f64;
@@ -132,7 +136,7 @@
     Rc::new(CloudClient::new(pool, clock, max_requests_per_second))
 }
 
-/// Where the API's requests arrive.
+/// Receiving ends of the channels on which the API sends requests.
 struct ApiRequests {
     heartbeats: mpsc::Receiver<HeartbeatRequest>,
     job_lookups: mpsc::Receiver<StatusQuery>,
@@ -140,18 +144,18 @@
     cancellations: mpsc::Receiver<CancelledJob>,
 }
 
-/// The API's ends of its channels, and the controller's.
+/// Creates the channels between the API and the controller and returns both sets of ends.
 fn api_channels(view: watch::Receiver<Arc<ApiView>>) -> (ApiChannels, ApiRequests) {
-    let (reports, heartbeats) = mpsc::channel(HEARTBEAT_QUEUE);
-    let (asks, job_lookups) = mpsc::channel(JOB_LOOKUP_QUEUE);
-    let (questions, store_queries) = mpsc::channel(STORE_QUERY_QUEUE);
-    let (cancels, cancellations) = mpsc::channel(CANCELLATION_QUEUE);
+    let (heartbeat_sender, heartbeats) = mpsc::channel(HEARTBEAT_QUEUE_CAPACITY);
+    let (job_lookup_sender, job_lookups) = mpsc::channel(JOB_LOOKUP_QUEUE_CAPACITY);
+    let (store_query_sender, store_queries) = mpsc::channel(STORE_QUERY_QUEUE_CAPACITY);
+    let (cancellation_sender, cancellations) = mpsc::channel(CANCELLATION_QUEUE_CAPACITY);
     let channels = ApiChannels {
         view,
-        store_queries: questions,
-        heartbeats: reports,
-        status_queries: asks,
-        cancellations: cancels,
+        store_queries: store_query_sender,
+        heartbeats: heartbeat_sender,
+        status_queries: job_lookup_sender,
+        cancellations: cancellation_sender,
     };
     let requests = ApiRequests {
         heartbeats,
@@ -170,25 +174,26 @@
     let listener = TcpListener::bind(settings.mesh_addr)
         .await
         .map_err(ListenError::on(settings.mesh_addr))?;
-    let (messages_out, messages) = mpsc::channel(PEER_MESSAGE_QUEUE);
+    let (messages_out, messages) = mpsc::channel(PEER_MESSAGE_QUEUE_CAPACITY);
     spawn_local(mesh::listen(listener, sockets.peers, messages_out));
     spawn_local(forward(messages, inputs.clone(), Input::Mesh));
     Ok(())
 }
 
-/// Connects to all peers; frames sent to these queues go out to them.
+/// Connects to all peers and returns one queue of outgoing frames for each of them.
 fn dial_peers(settings: &Settings) -> Vec<mpsc::Sender<Bytes>> {
     let seeds = settings.seeds.iter();
     seeds
         .map(|seed| {
-            let (frames, queue) = mpsc::channel::<Bytes>(PEER_FRAME_QUEUE);
+            let (frames, queue) = mpsc::channel::<Bytes>(PEER_FRAME_QUEUE_CAPACITY);
             spawn_local(mesh::dial(seed.addr, queue));
             frames
         })
         .collect()
 }
 
-/// Passes on what arrives in a channel as the core's input.
+/// Converts the items of a channel to inputs and passes them to the core, until either channel
+/// is closed.
 async fn forward<T>(
     mut from: mpsc::Receiver<T>,
     inputs: mpsc::Sender<Input>,
--- a/src/controller/store_tasks.rs
+++ b/src/controller/store_tasks.rs
@@ -1,6 +1,6 @@
-//! The tasks around the store: the watch that feeds the core, and the API's own requests.
+//! The tasks that access the store: the watch that feeds the core, and the API's requests.
 //!
-//! They hold no state of the controller; the core decides what a read means.
+//! They hold no state of the controller. The core interprets what they read.
 
 use super::messages::{Input, StoreChanges, StoreSnapshot};
 use crate::api::ports::StoreQuery;
@@ -12,18 +12,19 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Watches are reopened no faster than this.
+/// Pause between the response to a watch and the next watch, which limits the request rate.
 const WATCH_INTERVAL: Duration = Duration::from_millis(120);
-/// After a watch without an answer, the next is opened no earlier than this.
+/// Delay after an unanswered watch before the next watch.
 const WATCH_RETRY_DELAY: Duration = Duration::from_millis(240);
-/// A full read that failed is repeated after this.
+/// Delay before a failed full read is retried.
 const LOAD_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// The core does not take inputs any more.
+/// The input queue of the core is closed.
 struct InputsClosed;
 
-/// Keeps the core's cache up to date until the core ends: one full read, then changes only;
-/// a full read again whenever the watch has fallen too far behind.
+/// Keeps the core's cache up to date until the core's input queue is closed. The first read is
+/// a full read, after which only changes are read. A full read is repeated when the store has
+/// compacted changes that the watch has not read yet.
 pub(super) async fn watch_store(
     store: KvClient,
     clock: MonotonicClock,
@@ -50,7 +51,8 @@
     }
 }
 
-/// Passes on the changes since a revision, until the store has compacted them.
+/// Passes the changes after a revision to the core. Returns `Ok` once the store has compacted
+/// changes that were not read yet, and an error once the core's input queue is closed.
 async fn follow_changes(
     store: &KvClient,
     clock: MonotonicClock,
@@ -77,7 +79,7 @@
     }
 }
 
-/// Executes the API's requests to the store, each in a task of its own.
+/// Executes the API's requests to the store, each in a separate task.
 pub(super) async fn execute_store_queries(
     store: KvClient,
     mut queries: mpsc::Receiver<StoreQuery>,
@@ -86,7 +88,7 @@
         let store = store.clone();
         spawn_local(async move {
             let reply = store.execute(query.request, RequestPriority::Normal).await;
-            // The API's request may have timed out meanwhile.
+            // Sending fails if the API's request has timed out meanwhile.
             let _ = query.answer.send(reply);
         });
     }
