--- a/src/controller/core/dependencies.rs
+++ b/src/controller/core/dependencies.rs
@@ -34,7 +34,7 @@
         self.is_out_of_sync = true;
     }
 
-    /// Rebuilds the graph after a full read of the store.
+    /// Updates the whole graph after a full read of the store.
     pub(super) fn reload(&mut self, now: Micros, cache: &WatchCache) {
         self.graph.reload(now, &cache.jobs);
     }
--- a/src/controller/core/health.rs
+++ b/src/controller/core/health.rs
@@ -17,7 +17,8 @@
 impl Core {
     /// Returns whether users should be routed to this controller. They should not while this
     /// controller cannot reach the store and a peer can. In a store outage no controller reaches
-    /// it, so taking one out of service would not help any user.
+    /// it, so taking one out of service would not help any user. A controller that has not read
+    /// the store yet is not healthy.
     pub(super) fn is_healthy(&self, now: Micros) -> bool {
         if !self.store.cache().is_loaded() {
             return false;
--- a/src/controller/core/leader_election.rs
+++ b/src/controller/core/leader_election.rs
@@ -23,9 +23,9 @@
 pub(super) struct LeaderElection {
     /// Lease that only the leader's key is attached to.
     lease: Lease,
-    /// Time since which the cache has shown no leader; `None` if there is a leader.
+    /// When the cache first showed that there is no leader; `None` if there is a leader.
     leaderless_since: Option<Micros>,
-    /// Time since which this controller leads; `None` if it does not lead.
+    /// When the cache first showed that this controller leads; `None` if it does not lead.
     leading_since: Option<Micros>,
 }
 
@@ -45,13 +45,14 @@
         &mut self.lease
     }
 
-    /// Returns the time since which this controller leads; `None` if it does not lead.
+    /// Returns when the cache first showed that this controller leads; `None` if it does not
+    /// lead.
     pub(super) fn leading_since(&self) -> Option<Micros> {
         self.leading_since
     }
 
-    /// Updates the state after a change of the cache. `has_leader` says whether there is a
-    /// leader, `is_leader` whether this controller is the leader.
+    /// Updates the state after a change of the cache. `has_leader` says whether the cache shows a
+    /// leader, and `is_leader` whether this controller is the leader.
     pub(super) fn update(&mut self, now: Micros, has_leader: bool, is_leader: bool) {
         self.leaderless_since = if has_leader {
             None
--- a/src/controller/core/machine_types.rs
+++ b/src/controller/core/machine_types.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Recomputes the total capacity of all recorded machines. Machines of unknown types count
-    /// as nothing.
+    /// Recomputes the total capacity of all recorded machines. Machines of unknown types are not
+    /// counted.
     pub(super) fn update_fleet_capacity(&mut self, cache: &WatchCache) {
         let Some(types) = &self.types else {
             return;
--- a/src/controller/core/owned_partitions.rs
+++ b/src/controller/core/owned_partitions.rs
@@ -1,7 +1,7 @@
 //! The partitions that this controller owns according to the grants in the store.
 //!
-//! A partition is acquired or lost only when the cache shows a changed grant. Replies to
-//! requests of an earlier term are never passed to a partition.
+//! Only the grants that the cache shows decide whether a partition is acquired or lost. Replies
+//! to requests of an earlier term are never passed to a partition.
 
 use super::Core;
 use crate::clock::Micros;
--- a/src/controller/core/partition_rebalancing.rs
+++ b/src/controller/core/partition_rebalancing.rs
@@ -32,8 +32,8 @@
 }
 
 impl PartitionRebalancing {
-    /// Returns whether this controller's workers are reachable. They are not for some time after
-    /// no machine of an owned partition sent heartbeats.
+    /// Returns whether this controller's workers are reachable. They count as unreachable for
+    /// [`UNREACHABLE_DURATION`] after none of a partition's machines sent heartbeats.
     pub(super) fn are_workers_reachable(&self, now: Micros) -> bool {
         now >= self.workers_unreachable_until
     }
--- a/src/controller/core/peers.rs
+++ b/src/controller/core/peers.rs
@@ -58,8 +58,8 @@
         self.records.insert(record.state.sender.clone(), record);
     }
 
-    /// Records a member that the store shows. Only the first time that an incarnation is seen
-    /// counts.
+    /// Records the incarnation of a member that the store shows. An incarnation that is already
+    /// known keeps the time at which it was first seen.
     pub(super) fn record_member(&mut self, now: Micros, label: &Label, incarnation: Revision) {
         let known = self.joins.get(label);
         if known.is_none_or(|join| join.incarnation != incarnation) {
