--- a/src/fairness/mod.rs
+++ b/src/fairness/mod.rs
@@ -1,5 +1,8 @@
-//! Heaviness: how much of the fleet a team's running tasks are endowed with,
-//! less what it is entitled to (the paper's Section III-C, Equations 1 to 4).
+//! Fair sharing between teams by heaviness: the share of the fleet that a team's running tasks
+//! are endowed with, less the share that the team is entitled to. Tasks of the lightest team are
+//! started first.
+//!
+//! The formulas are Equations 1 to 4 of Section III-C of the paper that `docs/design.md` cites.
 
 mod resources;
 mod usage;
@@ -7,28 +10,29 @@
 pub use resources::Resources;
 pub use usage::{Load, TeamUsage, UsageByTeam};
 
-/// Equation 1: a request times its machine's capacity over the machine's
-/// summed requests, for each resource.
-pub fn endowment(request: Resources, capacity: Resources, summed: Resources) -> Resources {
-    let ratio = capacity.zip(summed, ratio_or_zero);
+/// Returns the endowment of a task (Equation 1 of the paper): its request, scaled by the ratio
+/// of its machine's capacity to the sum of all requests on that machine, for each resource.
+pub fn endowment(request: Resources, capacity: Resources, total_requests: Resources) -> Resources {
+    let ratio = capacity.zip(total_requests, ratio_or_zero);
     request.zip(ratio, |amount, ratio| amount * ratio)
 }
 
-/// Static heaviness `s`: the endowment's share of the fleet, summed over the
-/// resources that the fleet has. It rises strictly with each of them.
+/// Returns the static heaviness of an endowment, `s` in the paper: its share of the fleet, summed
+/// over the resources that the fleet has. The result increases strictly with each of them.
 pub fn static_heaviness(endowed: Resources, fleet: Resources) -> f64 {
     let share = endowed.zip(fleet, ratio_or_zero);
     share.cores + share.gpus + share.memory_gb
 }
 
-/// Equation 3 with guarantees for quotas: the fleet's share that is
-/// proportional to a team's guarantee; zero where nothing is guaranteed.
+/// Returns a team's actual quota (Equation 3 of the paper, with guarantees as quotas): the part
+/// of the fleet that is proportional to the team's share of `guarantees`, the sum of all teams'
+/// guarantees. It is zero for resources that no team is guaranteed.
 pub fn actual_quota(guarantee: Resources, fleet: Resources, guarantees: Resources) -> Resources {
     let ratio = fleet.zip(guarantees, ratio_or_zero);
     guarantee.zip(ratio, |amount, ratio| amount * ratio)
 }
 
-/// A quotient; zero where the divisor is.
+/// Returns the quotient, or zero if the divisor is not positive.
 fn ratio_or_zero(dividend: f64, divisor: f64) -> f64 {
     if divisor > 0.0 {
         dividend / divisor
--- a/src/fairness/resources.rs
+++ b/src/fairness/resources.rs
@@ -1,10 +1,10 @@
-//! Amounts of resources, and their arithmetic.
+//! Amounts of resources, their arithmetic, and checks of whether one amount fits in another.
 
 use super::ratio_or_zero;
 use serde::{Deserialize, Serialize};
 use std::ops::{AddAssign, Sub, SubAssign};
 
-/// Amounts of each resource: of a task, a machine or the fleet.
+/// Amounts of all resources of a task, a machine or the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Resources {
     /// Processor cores.
@@ -17,21 +17,23 @@
     pub memory_gb: f64,
 }
 
-/// Sums of decimal amounts may be off by this much.
+/// Tolerance in comparisons of amounts, because sums of decimal amounts are not exact.
 const EPSILON: f64 = 1e-6;
-/// A bound for counts of what takes nothing of any resource.
-const MAX_TIMES: f64 = 1e6;
+/// Upper bound of [`Resources::times_in`]. Without it, amounts that are all zero would fit
+/// infinitely often.
+const MAX_COPIES: f64 = 1e6;
 
 impl Resources {
-    /// These amounts.
-    pub fn new(cores: f64, cards: f64, mem: f64) -> Self {
+    /// Creates amounts from processor cores, accelerators and memory in GB.
+    pub fn new(cores: f64, gpus: f64, memory_gb: f64) -> Self {
         Resources {
             cores,
-            gpus: cards,
-            memory_gb: mem,
+            gpus,
+            memory_gb,
         }
     }
 
+    /// Combines each amount with the same resource's amount in `other`.
     pub(super) fn zip(self, other: Resources, combine: impl Fn(f64, f64) -> f64) -> Resources {
         Resources::new(
             combine(self.cores, other.cores),
@@ -40,39 +42,44 @@
         )
     }
 
-    /// So many times as much of each.
-    pub fn scale(self, by: f64) -> Resources {
-        Resources::new(self.cores * by, self.gpus * by, self.memory_gb * by)
+    /// Returns each amount multiplied by `factor`.
+    pub fn scale(self, factor: f64) -> Resources {
+        Resources::new(
+            self.cores * factor,
+            self.gpus * factor,
+            self.memory_gb * factor,
+        )
     }
 
-    /// Whether there is enough of each.
+    /// Returns whether `room` has enough of each resource.
     pub fn fits_in(&self, room: &Resources) -> bool {
         self.cores <= room.cores + EPSILON
             && self.gpus <= room.gpus + EPSILON
             && self.memory_gb <= room.memory_gb + EPSILON
     }
 
-    /// How many of these fit side by side (bin packing of equal items).
+    /// Returns how many copies of these amounts fit in `room` together (bin packing of equal
+    /// items).
     pub fn times_in(&self, room: &Resources) -> u32 {
-        let times = |needed: f64, available: f64| {
+        let copies = |needed: f64, available: f64| {
             if needed <= EPSILON {
                 f64::INFINITY
             } else {
                 ((available + EPSILON) / needed).floor()
             }
         };
-        let min = times(self.cores, room.cores)
-            .min(times(self.gpus, room.gpus))
-            .min(times(self.memory_gb, room.memory_gb));
-        min.clamp(0.0, MAX_TIMES) as u32
+        let min = copies(self.cores, room.cores)
+            .min(copies(self.gpus, room.gpus))
+            .min(copies(self.memory_gb, room.memory_gb));
+        min.clamp(0.0, MAX_COPIES) as u32
     }
 
-    /// The larger amount of each.
+    /// Returns the larger amount of each resource.
     pub fn max(self, other: Resources) -> Resources {
         self.zip(other, f64::max)
     }
 
-    /// The largest share of `whole` that any resource takes.
+    /// Returns the largest share of `whole` that these amounts take of any resource.
     pub fn share_of(&self, whole: &Resources) -> f64 {
         let shares = self.zip(*whole, ratio_or_zero);
         shares.cores.max(shares.gpus).max(shares.memory_gb)
--- a/src/fairness/usage.rs
+++ b/src/fairness/usage.rs
@@ -1,22 +1,25 @@
-//! What teams use on the machines of a partition, and how heavy that makes them.
+//! Usage and heaviness of the teams of a partition.
+//!
+//! A team's usage is always the sum over the partition's machines. It is updated whenever the
+//! load of a machine changes.
 
 use super::{Resources, actual_quota, endowment, static_heaviness};
 use std::collections::BTreeMap;
 
-/// What a machine's attempts request, in all and by team.
+/// Resources that the attempts on a machine request, in total and by team.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Load {
-    /// What all attempts request together.
+    /// Sum of the requests of all attempts.
     pub summed: Resources,
-    /// What each team's attempts request.
+    /// Sum of the requests of each team's attempts, by the team's index in the settings.
     pub teams: Vec<(usize, Resources)>,
-    /// Without a heartbeat since a failover, or with attempts of jobs that are not known: it
-    /// may hold anything, of any team.
+    /// Whether the machine may hold attempts of any team up to its full capacity: it has sent no
+    /// heartbeat since a failover, or has attempts of unknown jobs.
     pub unknown: bool,
 }
 
 impl Load {
-    /// Adds an attempt.
+    /// Adds the request of one attempt.
     pub fn take(&mut self, team: usize, request: Resources) {
         self.summed += request;
         match self.teams.iter_mut().find(|(other, _)| *other == team) {
@@ -26,24 +29,24 @@
     }
 }
 
-/// One team's usage.
+/// Usage of one team.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct TeamUsage {
-    /// What counts against its limit.
+    /// Resources that count against the team's limit.
     pub used: Resources,
-    /// What its running tasks are endowed with.
+    /// Sum of the endowments of the team's running tasks.
     pub endowed: Resources,
 }
 
-/// The usage of a partition's teams, kept up to date machine by machine, so that no
-/// decision iterates over the fleet to compute a team's heaviness.
+/// Usage of the teams of a partition. It is updated with each change of a machine's load, so that
+/// computing a team's heaviness does not iterate over the fleet.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct UsageByTeam {
     teams: BTreeMap<usize, TeamUsage>,
 }
 
 impl UsageByTeam {
-    /// Of these teams, with nothing used.
+    /// Creates the usage of `teams`, given by their indexes in the settings, with nothing used.
     pub fn new(teams: &[usize]) -> Self {
         UsageByTeam {
             teams: teams
@@ -53,20 +56,22 @@
         }
     }
 
-    /// Adds what is on a machine.
+    /// Adds the load of a machine.
     pub fn add(&mut self, load: &Load, capacity: Resources) {
         self.adjust(load, capacity, 1.0);
     }
 
-    /// Takes away what was on a machine.
+    /// Subtracts the load of a machine.
     pub fn remove(&mut self, load: &Load, capacity: Resources) {
         self.adjust(load, capacity, -1.0);
     }
 
     fn adjust(&mut self, load: &Load, capacity: Resources, sign: f64) {
         if load.unknown {
-            // After a failover, what is on a silent machine counts as the worst
-            // case for each team, or its limit and its heaviness would be off.
+            // It is unknown whose attempts are on the machine, for example after a failover.
+            // For each team's limit, the worst case counts: the team uses the whole machine.
+            // For the heaviness, the teams share the machine equally. Without this, a team
+            // could exceed its limit, and its heaviness would be wrong.
             let share = sign / self.teams.len().max(1) as f64;
             for usage in self.teams.values_mut() {
                 usage.used += capacity.scale(sign);
@@ -82,12 +87,14 @@
         }
     }
 
-    /// One team's usage.
+    /// Returns the usage of one team. It is zero for a team of another partition.
     pub fn of(&self, team: usize) -> TeamUsage {
         self.teams.get(&team).copied().unwrap_or_default()
     }
 
-    /// Equations 2 to 4: the sum over the team's tasks, less its actual quota.
+    /// Returns a team's heaviness (Equations 2 to 4 of the paper): the static heaviness of the
+    /// sum of its tasks' endowments, less that of its actual quota. `guarantee` is the team's
+    /// guarantee, `guarantees` the sum of all teams' guarantees.
     pub fn heaviness(
         &self,
         team: usize,
--- a/src/partition_owner/attempt_events.rs
+++ b/src/partition_owner/attempt_events.rs
@@ -1,18 +1,21 @@
-//! What follows from changes of attempts that a heartbeat shows.
+//! Handling of the changes of attempts that heartbeats report: updates the jobs, requeues tasks
+//! of lost attempts, adopts attempts that this owner did not start, and quarantines machines on
+//! which several jobs fail.
 
 use super::{NO_GRACE_PERIOD_S, OwnedPartition, UnreapedAttempt};
 use crate::clock::Micros;
 use crate::ids::{JobId, MachineId};
 use crate::workers::{Attempt, AttemptEvent, AttemptKey, AttemptPhase, ExitCause};
 
-/// A machine on which tasks of so many jobs failed that do not fail elsewhere is quarantined.
+/// Number of jobs whose tasks must have failed on a machine for it to be quarantined. Jobs that
+/// are failing on several machines do not count.
 const QUARANTINE_FAILED_JOBS: usize = 2;
 
 impl OwnedPartition {
     pub(super) fn handle_attempt_event(
         &mut self,
         now: Micros,
-        machine: &MachineId,
+        machine_id: &MachineId,
         event: AttemptEvent,
     ) {
         match event {
@@ -22,20 +25,22 @@
                     self.job_writes.mark_dirty(&key.task.job);
                 }
             }
-            AttemptEvent::Lost(key) => self.requeue(&key, machine),
-            AttemptEvent::Ended(key, cause) => self.handle_attempt_end(now, machine, key, cause),
+            AttemptEvent::Lost(key) => self.requeue(&key, machine_id),
+            AttemptEvent::Ended(key, cause) => {
+                self.handle_attempt_end(now, machine_id, key, cause);
+            }
             AttemptEvent::Unknown(key, phase, cause) => {
-                self.adopt_attempt(now, machine, key, phase, cause);
+                self.adopt_attempt(now, machine_id, key, phase, cause);
             }
         }
     }
 
-    /// An attempt that a machine shows and that was not started by this owner: of an earlier
-    /// owner, or of a job that is not known here.
+    /// Adopts an attempt that a heartbeat reports and that this owner did not start: it belongs
+    /// to an earlier owner or to an unknown job. It is stopped if its task must not run there.
     fn adopt_attempt(
         &mut self,
         now: Micros,
-        on: &MachineId,
+        machine_id: &MachineId,
         key: AttemptKey,
         phase: AttemptPhase,
         cause: Option<ExitCause>,
@@ -46,27 +51,32 @@
         if attempt.demand.is_none() && phase != AttemptPhase::Exited {
             attempt.demand = self.unknown_jobs.demand(now, &key.task.job);
         }
-        let is_ours = self.claim_task(on, &key, phase);
-        if !is_ours {
-            // Of a job that has ended, or elsewhere already: it must be stopped.
+        let is_claimed = self.claim_task(machine_id, &key, phase);
+        if !is_claimed {
+            // Its job has ended or its task is elsewhere already, so it must be stopped.
             attempt.request_stop(NO_GRACE_PERIOD_S);
             attempt.may_be_reaped = true;
         }
-        let Some(machine) = self.machines.get_mut(on) else {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
         if phase == AttemptPhase::Running {
             machine.images.extend(attempt.image());
         }
         machine.attempts.insert(key.clone(), attempt);
-        if phase == AttemptPhase::Exited && is_ours {
-            self.handle_attempt_end(now, on, key, cause.unwrap_or(ExitCause::Other));
+        if phase == AttemptPhase::Exited && is_claimed {
+            self.handle_attempt_end(now, machine_id, key, cause.unwrap_or(ExitCause::Other));
         }
     }
 
-    /// Whether a task may be where a machine shows it; if it was not started elsewhere, it is
-    /// taken for started there.
-    fn claim_task(&mut self, on: &MachineId, key: &AttemptKey, phase: AttemptPhase) -> bool {
+    /// Returns whether a task may be on the machine that reports it. Records a live attempt as
+    /// the task's active one unless the task is done or was started elsewhere.
+    fn claim_task(
+        &mut self,
+        machine_id: &MachineId,
+        key: &AttemptKey,
+        phase: AttemptPhase,
+    ) -> bool {
         let index = key.task.index;
         let Some(job) = self.jobs.get_mut(&key.task.job) else {
             return false;
@@ -75,50 +85,56 @@
             && !job.done().contains(index)
             && !job.active().contains_key(&index);
         if is_free && phase != AttemptPhase::Exited {
-            job.start(index, on.clone());
+            job.start(index, machine_id.clone());
             if phase == AttemptPhase::Running {
                 job.mark_running(index);
             }
             self.job_writes.mark_dirty(&key.task.job);
         }
-        is_free || job.active().get(&index) == Some(on) && phase == AttemptPhase::Exited
+        is_free || job.active().get(&index) == Some(machine_id) && phase == AttemptPhase::Exited
     }
 
     fn handle_attempt_end(
         &mut self,
         now: Micros,
-        on: &MachineId,
+        machine_id: &MachineId,
         key: AttemptKey,
         cause: ExitCause,
     ) {
         if cause == ExitCause::Done && self.jobs.contains_key(&key.task.job) {
-            self.record_success(on, key);
+            self.record_success(machine_id, key);
             return;
         }
-        self.record_failure(now, on, &key, cause);
-        tracing::debug!(partition = %self.id(), task = %key.task, attempt = %key.attempt, ?cause, machine = %on, "attempt ended");
-        self.requeue(&key, on);
+        self.record_failure(now, machine_id, &key, cause);
+        tracing::debug!(partition = %self.id(), task = %key.task, attempt = %key.attempt, ?cause, machine = %machine_id, "attempt ended");
+        self.requeue(&key, machine_id);
     }
 
-    fn record_success(&mut self, on: &MachineId, key: AttemptKey) {
+    fn record_success(&mut self, machine_id: &MachineId, key: AttemptKey) {
         let Some(job) = self.jobs.get_mut(&key.task.job) else {
             return;
         };
         job.clear_failures();
-        if let Some(machine) = self.machines.get_mut(on) {
+        if let Some(machine) = self.machines.get_mut(machine_id) {
             machine.failures.clear();
         }
-        // Wherever else the task was thought to be, it is done.
+        // The task is done, even if it was recorded as active on another machine.
         job.finish(key.task.index);
         self.job_writes.mark_dirty(&key.task.job);
         self.job_writes.add_unreaped(UnreapedAttempt {
-            machine: on.clone(),
+            machine: machine_id.clone(),
             key,
         });
     }
 
-    fn record_failure(&mut self, now: Micros, on: &MachineId, key: &AttemptKey, cause: ExitCause) {
-        let Some(machine) = self.machines.get_mut(on) else {
+    fn record_failure(
+        &mut self,
+        now: Micros,
+        machine_id: &MachineId,
+        key: &AttemptKey,
+        cause: ExitCause,
+    ) {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
         if let Some(attempt) = machine.attempts.get_mut(key) {
@@ -128,9 +144,9 @@
         let Some(job) = self.jobs.get_mut(&key.task.job).filter(|_| is_failure) else {
             return;
         };
-        job.record_failure(on.clone());
-        // One job that fails everywhere says nothing about machines, so it waits longer each
-        // time; several that fail on one machine quarantine it.
+        job.record_failure(machine_id.clone());
+        // A job that fails on several machines is itself at fault: it backs off, longer each
+        // time. A machine on which several other jobs fail is quarantined.
         if job.is_failing() {
             self.scheduling.add_failing_job(&key.task.job);
             job.back_off(now);
@@ -140,7 +156,7 @@
         let failed_jobs = machine.failures.jobs();
         let failed_here = failed_jobs.filter(|id| !fails_elsewhere(id)).count();
         if failed_here >= QUARANTINE_FAILED_JOBS && machine.is_schedulable() {
-            tracing::info!(partition = %self.ownership.partition(), machine = %on, "machine quarantined");
+            tracing::info!(partition = %self.ownership.partition(), machine = %machine_id, "machine quarantined");
             machine.quarantine();
         }
     }
--- a/src/partition_owner/capacity.rs
+++ b/src/partition_owner/capacity.rs
@@ -1,4 +1,5 @@
-//! How the partition's capacity is used, and what it lacks.
+//! The partition's capacity: requests for capacity that waiting tasks lack, the usage log line
+//! for operators, and the teams' heaviness.
 
 use super::OwnedPartition;
 use crate::clock::Micros;
@@ -8,7 +9,7 @@
 use std::collections::BTreeMap;
 
 impl OwnedPartition {
-    /// The room that waiting work lacks.
+    /// Returns requests for the capacity that waiting tasks lack.
     pub fn capacity_requests(
         &self,
         now: Micros,
@@ -22,7 +23,8 @@
         )
     }
 
-    /// Machines that are expected to come up, each kind once.
+    /// Returns the machines that are expected to come up, counted by kind. Machines in lost
+    /// zones are excluded.
     fn booting_machines(&self) -> Vec<PendingMachines<'_>> {
         let is_expected = |machine: &&Machine| {
             machine.last_contact_at().is_none()
@@ -51,7 +53,7 @@
         booting
     }
 
-    /// A line for operators on how the partition is used.
+    /// Logs one line for operators about the use of the partition.
     pub fn log_usage(&self, now: Micros) {
         let heartbeat_timeout = self.heartbeat_timeout();
         let is_usable =
@@ -86,8 +88,8 @@
         );
     }
 
-    /// Each team's heaviness. The usage by team is computed anew from the machines' loads
-    /// each time, so that no rounding adds up.
+    /// Returns each team's heaviness by the team's name. Recomputes the usage of each team from
+    /// the machines' loads, so that rounding errors do not accumulate.
     pub fn team_heaviness(&mut self, fleet: Resources) -> BTreeMap<String, f64> {
         let mut usage = UsageByTeam::new(self.ownership.teams());
         for machine in self.machines.values() {
--- a/src/partition_owner/direct_commands.rs
+++ b/src/partition_owner/direct_commands.rs
@@ -1,5 +1,9 @@
-//! Commands that are sent straight to machines: what no answer to a heartbeat carried, probes,
-//! and the fencing token to machines that have not seen it.
+//! Direct commands: commands that are sent straight to a machine's worker instead of in the
+//! response to a heartbeat.
+//!
+//! They carry commands that can't wait for the next heartbeat, probe machines that are late, and
+//! bring the fencing token to machines that have not shown it. At most one direct command to
+//! each machine, and a bounded number in all, is in flight at a time.
 
 use super::{Effect, OwnedPartition};
 use crate::clock::Micros;
@@ -7,15 +11,16 @@
 use crate::workers::{CommandRoute, DirectCommand, Heartbeat, Machine};
 use std::collections::BTreeSet;
 
-/// Between two direct commands to one machine.
+/// Shortest interval between two direct commands to one machine.
 const MIN_COMMAND_INTERVAL: Micros = Micros::from_millis(150);
-/// After a direct command that could not be sent.
+/// Time after a direct command that could not be sent until the next one to the same machine.
 const SEND_RETRY_INTERVAL: Micros = Micros::from_millis(1_000);
-/// Direct commands that are in flight at once.
+/// Most direct commands in flight at a time, to all machines of the partition.
 const MAX_COMMANDS_IN_FLIGHT: usize = 48;
-/// Direct commands that carry the fencing token after a failover: one to learn the agent
-/// epoch, one under it. More would only pile up behind a network cut, and the machine's own
-/// next heartbeat does as well.
+/// Most direct commands that bring the fencing token to one machine after a failover. The first
+/// one learns the worker's agent epoch, and the second one is sent under that epoch. Further ones
+/// would only pile up behind a network partition, and the machine's next heartbeat has the same
+/// effect.
 const MAX_TOKEN_COMMANDS: u32 = 2;
 
 /// Machines that may need a direct command, and how many commands are in flight.
@@ -26,41 +31,42 @@
 }
 
 impl DirectCommandQueue {
-    /// A machine may need a direct command.
+    /// Adds a machine that may need a direct command.
     pub(super) fn request(&mut self, machine: &MachineId) {
         self.pending.insert(machine.clone());
     }
 
-    /// How many machines may need a direct command.
+    /// Returns the number of machines that may need a direct command.
     pub(super) fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// A direct command was answered, or never will be.
+    /// Records that a direct command is no longer in flight: it was answered, or it will never be.
     fn complete(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 }
 
-/// What a machine that may need a direct command gets now.
+/// Decision about a machine that may need a direct command.
 enum NextCommand {
-    /// Nothing, until it is requested again.
+    /// The machine needs none, and leaves the queue.
     Nothing,
-    /// Perhaps one later.
+    /// None can be sent now. The machine stays in the queue.
     Wait,
-    /// This one.
+    /// This one is sent now.
     Send(DirectCommand),
 }
 
 impl OwnedPartition {
-    /// Direct commands that are to be sent now. A bounded number is in flight at a time.
+    /// Returns the direct commands that are to be sent now. A bounded number is in flight at a
+    /// time, and none is sent during a hand-back.
     pub fn take_direct_commands(&mut self, now: Micros) -> Vec<Effect> {
         let mut effects = Vec::new();
         if self.is_being_handed_back() {
             return effects;
         }
         let heartbeat_timeout = self.heartbeat_timeout();
-        let mut settled = Vec::new();
+        let mut not_needed = Vec::new();
         for id in &self.direct_commands.pending {
             if self.direct_commands.in_flight + effects.len() >= MAX_COMMANDS_IN_FLIGHT {
                 break;
@@ -68,11 +74,11 @@
             let machine = self.machines.get_mut(id);
             let active = machine.filter(|machine| machine.is_active());
             let Some(machine) = active else {
-                settled.push(id.clone());
+                not_needed.push(id.clone());
                 continue;
             };
             match next_command(machine, now, heartbeat_timeout) {
-                NextCommand::Nothing => settled.push(id.clone()),
+                NextCommand::Nothing => not_needed.push(id.clone()),
                 NextCommand::Wait => {}
                 NextCommand::Send(command) => {
                     let addr = machine.spec.addr.clone();
@@ -80,14 +86,15 @@
                 }
             }
         }
-        for id in settled {
+        for id in not_needed {
             self.direct_commands.pending.remove(&id);
         }
         self.direct_commands.in_flight += effects.len();
         effects
     }
 
-    /// The reply to a direct command, which is a fresh heartbeat; none: it had no answer.
+    /// Handles the reply to a direct command, which is a new heartbeat of the worker. `reply` is
+    /// `None` if there was no reply: the command may still arrive.
     pub fn handle_direct_command_reply(
         &mut self,
         now: Micros,
@@ -103,8 +110,9 @@
             return;
         };
         machine.record_direct_command_reply();
-        // Refused for its agent epoch: sent again under the right one. A higher token than
-        // ours means that we are fenced, so not then.
+        // A worker refuses a direct command under another agent epoch. Its launches are sent
+        // again under the right one, unless a higher fencing token shows that this owner is
+        // fenced.
         if heartbeat.fencing_token <= machine.fencing_token() {
             machine.resend_launches();
         }
@@ -120,14 +128,15 @@
         self.direct_commands.request(id);
     }
 
-    /// A direct command surely did not go out: there is nothing to fence.
+    /// Handles the failure to send a direct command. The command can't arrive later, so nothing
+    /// has to be fenced.
     pub fn handle_direct_command_not_sent(&mut self, now: Micros, id: &MachineId) {
         self.direct_commands.complete();
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        // It can't be reached: what was to start there starts elsewhere, and nothing
-        // more is tried there until it sends a heartbeat.
+        // The machine is unreachable. The tasks that were to start on it start elsewhere, and no
+        // more are launched on it until it sends a heartbeat.
         let abandoned = machine.record_direct_command_not_sent(now + SEND_RETRY_INTERVAL);
         self.update_usage(id);
         for key in abandoned {
@@ -136,13 +145,14 @@
     }
 }
 
-/// The direct command that a machine needs now, if any, recorded there as sent.
+/// Decides whether a machine is sent a direct command now. If so, records on the machine that it
+/// was sent.
 fn next_command(machine: &mut Machine, now: Micros, heartbeat_timeout: Micros) -> NextCommand {
     let needs_token = machine.is_unconfirmed() && machine.token_commands() < MAX_TOKEN_COMMANDS;
     let is_reachable = machine.has_no_command_in_transit()
         && machine
             .last_contact_at()
-            .is_some_and(|heard_at| now.since(heard_at) < heartbeat_timeout);
+            .is_some_and(|contact_at| now.since(contact_at) < heartbeat_timeout);
     let is_needed = machine.needs_direct_command()
         && (is_reachable && machine.has_known_agent_epoch() || machine.needs_probe());
     if !needs_token && !is_needed || machine.spec.addr.is_empty() {
@@ -156,8 +166,8 @@
         return NextCommand::Wait;
     }
     machine.record_direct_command_sent(needs_token, now + MIN_COMMAND_INTERVAL);
-    // A direct command goes out under the token that was shown; work only to machines
-    // whose heartbeats count.
+    // Only reachable machines get worker commands. For the others, the direct command only
+    // carries the fencing token or probes the worker.
     let commands = if is_reachable {
         machine.commands(CommandRoute::Direct)
     } else {
--- a/src/partition_owner/effects.rs
+++ b/src/partition_owner/effects.rs
@@ -1,4 +1,5 @@
-//! What an owner asks its controller to carry out. The owner itself does no input or output.
+//! Effects: the store writes, reads and direct commands that an owner requests from its
+//! controller. The owner itself does no input or output.
 
 use crate::clock::Micros;
 use crate::ids::{JobId, MachineId};
@@ -6,57 +7,58 @@
 use crate::store::{Compare, Mutation};
 use crate::workers::{AttemptKey, DirectCommand};
 
-/// An attempt that has exited, on a worker that keeps it until it is reaped: only once its
-/// end is stored.
+/// An attempt that has exited but has not been reaped. The worker keeps the attempt until the
+/// owner commands it to reap, which happens only after the attempt's end is stored.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UnreapedAttempt {
-    /// Where it ran.
+    /// Machine on which the attempt ran.
     pub machine: MachineId,
-    /// Which attempt.
+    /// Task and attempt.
     pub key: AttemptKey,
 }
 
-/// Pages of one job's progress.
+/// Progress pages of one job that a write contains.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProgressPages {
-    /// Whose progress.
+    /// Job whose progress is written.
     pub job: JobId,
-    /// The numbers of the pages.
+    /// Numbers of the pages.
     pub pages: Vec<u32>,
 }
 
-/// A write of this owner, as it comes back with its answer.
+/// Content of a write to the store. The controller returns it to the owner together with the
+/// store's reply.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Write {
-    /// The ends of jobs.
+    /// Records that jobs have ended.
     Ends {
-        /// How each of them ended.
+        /// Jobs with their terminal states.
         ends: Vec<(JobId, JobState)>,
-        /// Wall-clock time that is recorded as their end.
+        /// Wall-clock time that is recorded as the jobs' end.
         at: Micros,
-        /// Attempts to be reaped once it is stored.
+        /// Attempts to be reaped after the write is committed.
         reap: Vec<UnreapedAttempt>,
     },
-    /// Progress of jobs.
+    /// Records the progress of jobs.
     Progress {
-        /// The pages that are written.
+        /// Pages that are written, by job.
         jobs: Vec<ProgressPages>,
-        /// Attempts to be reaped once it is stored.
+        /// Attempts to be reaped after the write is committed.
         reap: Vec<UnreapedAttempt>,
     },
-    /// Machines that leave the partition: to another partition or back to the cloud.
+    /// Releases machines from the partition, to another partition or to the cloud.
     ReleaseMachines(Vec<MachineId>),
-    /// Machines that are in use from now on.
+    /// Records machines as used.
     UseMachines(Vec<MachineId>),
 }
 
-/// What an owner wants carried out.
+/// An action that an owner requests from its controller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Write to the store: all mutations if all compares hold, or nothing.
+    /// Writes to the store: applies all mutations if all compares hold, otherwise none.
     CompareAndSwap(Write, Vec<Compare>, Vec<Mutation>),
-    /// Send a direct command to this machine's address.
+    /// Sends a direct command to a machine. The string is the address of the machine's worker.
     SendDirectCommand(MachineId, String, DirectCommand),
-    /// Read the record of this ended job: how it ended, and what its tasks took.
+    /// Reads the record of an ended job, which contains the resources that its tasks requested.
     ReadEnded(JobId),
 }
--- a/src/partition_owner/failback.rs
+++ b/src/partition_owner/failback.rs
@@ -1,5 +1,7 @@
-//! Failback: tasks that were evacuated from a zone are moved home once it is back and has room,
-//! where that gains more than it costs.
+//! Failback: moves tasks that were evacuated from a zone back to it once the zone has returned
+//! and has room, if moving them saves more than it costs.
+//!
+//! A task's home is the zone from which its job was evacuated.
 
 use super::OwnedPartition;
 use crate::clock::Micros;
@@ -12,16 +14,18 @@
 use std::collections::BTreeMap;
 use zone_failover::failback::{self, EvacuatedTask};
 
-/// Room at home is reserved so long for a task that is stopped elsewhere.
+/// Time for which room at home is reserved for a task that is being stopped elsewhere.
 const RESERVATION_TIMEOUT: Micros = Micros::from_millis(20_000);
-/// Stopping and starting once more costs so much besides the checkpoint and fetching the image.
+/// Estimated time that a restart takes besides saving the checkpoint and fetching the image, in
+/// seconds.
 const RESTART_DURATION_S: f64 = 2.0;
-/// A task that is moved has so much longer to stop than its checkpoint takes.
+/// Time that a moved task has to stop in addition to its checkpoint's duration, in seconds.
 const GRACE_PERIOD_MARGIN_S: f64 = 1.0;
-/// A machine whose rate of fetching images is unknown is taken for this slow.
+/// Lowest assumed rate at which a machine fetches images. Bounds the estimated fetch time of
+/// machines whose rate is unknown.
 const MIN_IMAGE_FETCH_GB_PER_S: f64 = 0.01;
 
-/// An attempt with its machine and its job.
+/// An evacuated attempt with its machine and its job.
 #[derive(Clone, Copy)]
 struct EvacuatedAttempt<'a> {
     machine_id: &'a MachineId,
@@ -31,14 +35,15 @@
     job: &'a Job,
 }
 
-/// A task that could be moved home, and where to.
+/// A task that could be moved home, and the machine that it would move to.
 struct FailbackCandidate {
     task: EvacuatedTask<(MachineId, AttemptKey)>,
     target: MachineId,
 }
 
 impl OwnedPartition {
-    /// Stops running tasks elsewhere for which there is room in their zone again.
+    /// Stops evacuated tasks that are to move home, if a round of failback is due, and reserves
+    /// room for them on machines at home.
     pub(super) fn fail_back(&mut self, now: Micros, wall_clock: Micros) {
         if !self.checks.begin_failback(now) {
             return;
@@ -69,8 +74,8 @@
         }
     }
 
-    /// Evacuated tasks for which there is room at home, each with a machine of its own share
-    /// of that room.
+    /// Returns the evacuated tasks for which there is room at home, each with a machine there.
+    /// The room that one candidate takes is not available to later ones.
     fn failback_candidates(&self, now: Micros, returned: &[ZoneId]) -> Vec<FailbackCandidate> {
         let heartbeat_timeout = self.heartbeat_timeout();
         let is_back = |machine: &Machine| {
@@ -109,8 +114,8 @@
         candidates
     }
 
-    /// The job of an attempt that is away from its zone, if that is back and the attempt may be
-    /// moved.
+    /// Returns the job of an attempt if the attempt was evacuated from a zone that has returned
+    /// and may be moved back there.
     fn job_to_move(
         &self,
         machine: &Machine,
@@ -127,7 +132,8 @@
         may_be_moved(job, attempt).then_some(job)
     }
 
-    /// Where an attempt could be moved home to, and what that gains and costs.
+    /// Returns the machine at home that an attempt could move to, with the gain and the cost of
+    /// the move. `None` if no machine at home has room, or a price is unknown.
     fn failback_candidate(
         &self,
         now: Micros,
@@ -173,7 +179,8 @@
         Some(FailbackCandidate { task, target })
     }
 
-    /// What a task's share of a machine costs in an hour.
+    /// Returns what a task's share of a machine costs per hour. `None` if the machine's type is
+    /// unknown.
     fn hourly_price(&self, machine: &Machine, desc: &JobDesc) -> Option<f64> {
         let is_its_type = |candidate: &&MachineType| candidate.name == machine.spec.machine_type;
         let machine_type = self.machine_types.iter().find(is_its_type)?;
@@ -185,6 +192,7 @@
         Some(price * desc.request().share_of(&machine.spec.capacity))
     }
 
+    /// Stops an attempt on `source` and reserves room for its task on `target`.
     fn move_task(&mut self, now: Micros, source: &MachineId, key: &AttemptKey, target: &MachineId) {
         let Some(job) = self.jobs.get(&key.task.job) else {
             return;
@@ -212,7 +220,7 @@
     }
 }
 
-/// What is free on a machine, and kept for no job that others were stopped for.
+/// Returns the capacity of a machine that is neither used nor reserved.
 fn free_room(machine: &Machine, now: Micros) -> Resources {
     let mut reserved = Resources::default();
     for reservation in machine.reservations.active(now) {
@@ -221,8 +229,8 @@
     machine.spec.capacity - machine.load.summed - reserved
 }
 
-/// Whether an attempt may be stopped to be started elsewhere: jobs whose tasks are bound to
-/// each other's zones stay together.
+/// Returns whether an attempt may be stopped and started in another zone. Jobs whose tasks depend
+/// on each other's zones are not moved.
 fn may_be_moved(job: &Job, attempt: &Attempt) -> bool {
     !job.desc.single_zone
         && !job.desc.anti_affinity
--- a/src/partition_owner/failover.rs
+++ b/src/partition_owner/failover.rs
@@ -1,5 +1,9 @@
-//! Recovery after a failover: until a machine of the earlier owner has sent a heartbeat under
-//! our fencing token, or its lease has expired, it may run anything.
+//! Recovery after a failover, which is when this controller takes a partition over from an
+//! earlier owner.
+//!
+//! A machine that the earlier owner used is unconfirmed until it has sent a heartbeat under this
+//! owner's fencing token, or its worker's lease has expired. An unconfirmed machine may run any
+//! task of the earlier owner. The failover is complete once no machine is unconfirmed.
 
 use super::OwnedPartition;
 use crate::clock::Micros;
@@ -7,14 +11,14 @@
 use crate::placement::{FailoverRecovery, SilentMachines};
 use crate::workers::Machine;
 
-/// How far the recovery from a failover has got.
+/// Progress of the recovery from a failover.
 pub(super) struct FailoverState {
-    /// The kinds of machines that are still unconfirmed; none: the failover is complete.
+    /// Kinds of machines that are still unconfirmed. `None` if the failover is complete.
     recovery: Option<FailoverRecovery>,
-    /// A machine of the failover was confirmed: counted once for all that are in a tick, since
-    /// counting walks over the partition.
+    /// Whether machines were confirmed since the last count. Counting iterates over all machines
+    /// of the partition, so it is done at most once per tick.
     recount_pending: bool,
-    /// Since when all machines of the failover are confirmed: idleness counts from there.
+    /// When the failover was completed. A machine's idle time counts from then.
     recovered_at: Micros,
 }
 
@@ -39,9 +43,9 @@
         std::mem::take(&mut self.recount_pending)
     }
 
-    /// From when on a machine's idleness counts. Guards against releasing what old jobs will
-    /// use once they may start: while the failover waits for silent machines, nothing is idle
-    /// by choice.
+    /// Returns the time from which a machine's idle time counts. During a failover, jobs from
+    /// before it may not start while machines are unconfirmed, so machines are idle although
+    /// there is work for them. Guards against releasing machines that these jobs will use.
     pub(super) fn idle_from(&self, now: Micros) -> Micros {
         if self.recovery.is_some() {
             now
@@ -50,7 +54,7 @@
         }
     }
 
-    /// Whether the failover is completed by this.
+    /// Replaces the recovery, and returns whether that completes the failover.
     fn update(&mut self, now: Micros, recovery: Option<FailoverRecovery>) -> bool {
         let is_completed = self.recovery.is_some() && recovery.is_none();
         self.recovery = recovery;
@@ -62,12 +66,12 @@
 }
 
 impl OwnedPartition {
-    /// Whether machines of the failover are still unconfirmed.
+    /// Returns whether machines are still unconfirmed after a failover.
     pub fn is_recovering(&self) -> bool {
         self.failover.recovery().is_some()
     }
 
-    /// Counts anew which kinds of machines are unconfirmed.
+    /// Updates which kinds of machines are unconfirmed.
     pub(super) fn update_recovery(&mut self, now: Micros) {
         let silent = self.unconfirmed_kinds();
         let recovery = (!silent.is_empty()).then_some(FailoverRecovery {
@@ -75,7 +79,8 @@
             granted: self.ownership.revision(),
             silent,
         });
-        // Fewer kinds that are silent: more jobs that can't be there.
+        // With fewer unconfirmed kinds of machines, more jobs may start, since none of their
+        // tasks can be running on an unconfirmed machine.
         let is_changed = recovery.as_ref() != self.failover.recovery();
         self.scheduling.request_pass_if(is_changed);
         if self.failover.update(now, recovery) {
@@ -83,6 +88,7 @@
         }
     }
 
+    /// Returns each kind of unconfirmed machine once.
     fn unconfirmed_kinds(&self) -> Vec<SilentMachines> {
         let mut kinds: Vec<SilentMachines> = Vec::new();
         let unconfirmed = self.machines.values();
--- a/src/partition_owner/hand_back.rs
+++ b/src/partition_owner/hand_back.rs
@@ -1,25 +1,28 @@
-//! Handing the partition back to the leader, for it to be granted to another controller.
+//! Hand-back of the partition to the leader, which can then grant it to another controller.
+//!
+//! From the first request on, this owner sends no command and no heartbeat response. It resumes
+//! only if no request can still be carried out.
 
 use super::OwnedPartition;
 use crate::clock::Micros;
 use crate::store::{Compare, Mutation, Reply};
 
-/// A hand-back without an answer is requested again after this.
+/// Time after which an unanswered hand-back is requested again.
 const HAND_BACK_RETRY_INTERVAL: Micros = Micros::from_millis(6_000);
 
-/// How far handing the partition back has got. From the first request on no command leaves.
+/// State of the hand-back. No command is sent unless the state is `NotRequested`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum HandBack {
-    /// The partition stays.
+    /// This controller keeps the partition.
     NotRequested,
-    /// A request is on its way.
+    /// A request is in flight.
     InFlight {
         sent_at: Micros,
-        /// An earlier request had no answer: it may still be carried out.
+        /// Whether an earlier request got no reply and may still be carried out.
         earlier_indeterminate: bool,
     },
-    /// No request is on its way, but one had no answer and may still be carried out: it has
-    /// to be requested again.
+    /// No request is in flight, but an earlier request got no reply and may still be carried
+    /// out. The hand-back has to be requested again.
     Indeterminate,
 }
 
@@ -28,7 +31,7 @@
         self != HandBack::NotRequested
     }
 
-    /// Whether a request is on its way that may still be answered.
+    /// Returns whether a request is in flight that has not timed out.
     fn awaits_reply(self, now: Micros) -> bool {
         match self {
             HandBack::InFlight { sent_at, .. } => now.since(sent_at) < HAND_BACK_RETRY_INTERVAL,
@@ -39,7 +42,7 @@
     fn begin_request(&mut self, now: Micros) {
         *self = HandBack::InFlight {
             sent_at: now,
-            // What was in flight for so long may still be carried out.
+            // An earlier request that timed out may still be carried out.
             earlier_indeterminate: self.is_requested(),
         };
     }
@@ -53,9 +56,11 @@
             return;
         };
         *self = match reply {
-            // Another owner's already, or soon: the watch will take the partition out.
+            // The owner record has changed. The watch reports that, and the controller then
+            // drops the partition.
             Reply::Committed(_) | Reply::Conflict(_) => return,
-            // Surely not carried out, and nothing before it can be: it stays ours.
+            // The request was definitely not carried out, and no earlier request can be, so
+            // this controller keeps the partition.
             Reply::Rejected if !earlier_indeterminate => HandBack::NotRequested,
             _ => HandBack::Indeterminate,
         };
@@ -63,10 +68,11 @@
 }
 
 impl OwnedPartition {
-    /// The write by which this owner hands the whole partition back, unless one is in flight.
-    /// From now on no command leaves. Guards against answers after the next grant: the next
-    /// owner counts a silent worker's lease from there, and our reading of the grant may come
-    /// much later.
+    /// Returns the write that hands the partition back, or `None` while one is in flight. From
+    /// now on no command and no heartbeat response is sent.
+    ///
+    /// Guards against heartbeat responses after the next grant: the next owner counts a silent
+    /// worker's lease from that grant, and this owner may learn of the grant much later.
     pub fn hand_back(&mut self, now: Micros) -> Option<(Vec<Compare>, Vec<Mutation>)> {
         if self.hand_back.awaits_reply(now) {
             return None;
@@ -76,12 +82,13 @@
         Some((vec![self.ownership.compare()], vec![release]))
     }
 
-    /// Whether the partition is being handed back: requested, and not surely refused.
+    /// Returns whether the partition is being handed back: the hand-back was requested and may
+    /// have been, or may still be, carried out.
     pub fn is_being_handed_back(&self) -> bool {
         self.hand_back.is_requested()
     }
 
-    /// Takes in the store's answer to a hand-back.
+    /// Handles the store's reply to a hand-back.
     pub fn handle_hand_back_reply(&mut self, reply: &Reply) {
         self.hand_back.handle_reply(reply);
     }
--- a/src/partition_owner/heartbeats.rs
+++ b/src/partition_owner/heartbeats.rs
@@ -1,31 +1,37 @@
-//! Heartbeats of workers: which of them are accepted, what follows from them, and the answer.
+//! Handling of workers' heartbeats: which heartbeats are accepted, how they update the owner's
+//! state, and how they are answered.
+//!
+//! A heartbeat is accepted only if it is newer than all known ones and shows the fencing token
+//! of this owner's term.
 
 use super::OwnedPartition;
 use crate::clock::Micros;
 use crate::fairness::Resources;
 use crate::workers::{CommandRoute, Heartbeat, HeartbeatResponse};
 
-/// What becomes of a heartbeat.
+/// Result of checking a heartbeat.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum HeartbeatVerdict {
-    /// It must not be answered as valid.
+    /// The heartbeat must not get a valid response.
     Rejected,
-    /// It does not show our term yet: it is answered with the fencing token and nothing else,
-    /// and the next one will show it.
+    /// The heartbeat does not show this owner's term yet. The response carries the fencing
+    /// token and no commands, so that the next heartbeat shows the term.
     BeforeTerm,
-    /// It was taken in, and is answered with commands.
+    /// The heartbeat was reconciled. The response carries commands.
     Accepted,
 }
 
 impl OwnedPartition {
-    /// Takes in a worker's heartbeat, which holds its lease until then. None: it gets no valid
-    /// answer from us.
+    /// Handles a worker's heartbeat and returns the response, which renews the worker's lease.
+    /// The response must not be sent from `valid_until` on, because this owner's own lease may
+    /// have expired by then. Returns `None` if the worker must not get a valid response from
+    /// this owner.
     pub fn handle_heartbeat(
         &mut self,
         now: Micros,
         wall_clock: Micros,
         fleet: Resources,
-        until: Micros,
+        valid_until: Micros,
         heartbeat: &Heartbeat,
     ) -> Option<HeartbeatResponse> {
         if self.is_being_handed_back() {
@@ -49,7 +55,7 @@
         Some(HeartbeatResponse {
             fencing_token: machine.fencing_token(),
             commands,
-            valid_until: until,
+            valid_until,
         })
     }
 
@@ -59,8 +65,7 @@
             return HeartbeatVerdict::Rejected;
         };
         if !machine.is_newer(heartbeat) {
-            // A late copy is older than what is known: it says nothing, not even
-            // that the machine lives.
+            // A delayed or duplicated heartbeat does not even show that the machine is alive.
             machine.record_stale_heartbeat(heartbeat);
             if machine.needs_probe() {
                 self.direct_commands.request(&heartbeat.machine);
@@ -68,8 +73,9 @@
             return HeartbeatVerdict::Rejected;
         }
         if heartbeat.fencing_token > machine.fencing_token() {
-            // Another controller owns this machine under a higher term: the worker would drop
-            // our answer, and stay here while its lease expires.
+            // Another controller owns this machine under a higher term. The worker would drop
+            // this owner's response, but keep sending its heartbeats here until its lease
+            // expires.
             return HeartbeatVerdict::Rejected;
         }
         if !machine.used {
@@ -85,7 +91,7 @@
         HeartbeatVerdict::Accepted
     }
 
-    /// Takes in an accepted heartbeat, or an accepted reply to a direct command.
+    /// Updates the state from an accepted heartbeat or an accepted reply to a direct command.
     pub(super) fn reconcile_heartbeat(&mut self, now: Micros, heartbeat: &Heartbeat) {
         self.liveness.record_contact(now);
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
--- a/src/partition_owner/idle_release.rs
+++ b/src/partition_owner/idle_release.rs
@@ -1,4 +1,5 @@
-//! Which idle machines leave the partition, and why.
+//! Release of idle machines: which of them are released from the partition, and whether they are
+//! moved to another partition or returned to the cloud.
 
 use crate::clock::Micros;
 use crate::ids::Revision;
@@ -7,12 +8,13 @@
 use crate::policy::Policy;
 use crate::workers::Machine;
 
-/// Less than a minute is charged as a minute.
+/// Shortest time that the cloud charges for a machine.
 const MIN_CHARGED_TIME: Micros = Micros::from_millis(60_000);
-/// A machine moves to another partition only after it was idle for this long.
+/// Idle time after which a machine may be moved to another partition.
 const MIN_IDLE_BEFORE_MOVE: Micros = Micros::from_millis(1_000);
 
-/// A request of another partition, as far as no machine was released for it yet.
+/// A capacity request of another partition, with the number of tasks for which no machine has
+/// been released yet.
 pub(super) struct UnmetRequest<'a> {
     request: &'a CapacityRequest,
     remaining: u32,
@@ -27,11 +29,11 @@
     }
 }
 
-/// One round of releasing idle machines.
+/// One round of releases of idle machines.
 pub(super) struct IdleRelease<'a> {
     pub(super) now: Micros,
     pub(super) heartbeat_timeout: Micros,
-    /// Idleness before this does not count.
+    /// Time before which idle time does not count.
     pub(super) idle_from: Micros,
     pub(super) policy: &'a Policy,
     pub(super) own_requests: &'a [CapacityRequest],
@@ -39,7 +41,8 @@
 }
 
 impl IdleRelease<'_> {
-    /// Releases a machine in its record, if it is to go; whether it is. `revision`: of its shard.
+    /// Marks a machine as released in its record if it is to be released, and returns whether it
+    /// is. `revision` is the revision of the machine's shard.
     pub(super) fn apply(
         &mut self,
         machine: &mut Machine,
@@ -47,7 +50,7 @@
         revision: Revision,
     ) -> bool {
         if machine.release_state().is_indeterminate() && machine.is_empty() {
-            // Tried before without an answer: again, since it may be done.
+            // An earlier release got no reply and may have been carried out: it is repeated.
             record.release_reason = Some(ReleaseReason::Return);
             machine.request_release(revision);
             return true;
@@ -60,6 +63,8 @@
         true
     }
 
+    /// Returns why a machine is to be released, or `None` if the partition keeps it. A move
+    /// reduces the unmet request of the partition that it serves.
     fn reason(&mut self, machine: &Machine) -> Option<ReleaseReason> {
         let accepts_tasks = placement::accepts_tasks(machine, self.now, self.heartbeat_timeout);
         if !accepts_tasks || !machine.is_empty() {
@@ -90,8 +95,9 @@
         }
     }
 
-    /// Guards against counting the minimum charge from each failover anew: under a roll of
-    /// restarts nothing was released.
+    /// Returns whether the machine has been used for the minimum time that is charged. Guards
+    /// against counting that time again from each failover: no machine was then released during
+    /// a rolling restart.
     fn is_minimum_charge_paid(&self, machine: &Machine) -> bool {
         machine.minimum_charge_paid || self.now.since(machine.added_at()) >= MIN_CHARGED_TIME
     }
--- a/src/partition_owner/job_writes.rs
+++ b/src/partition_owner/job_writes.rs
@@ -1,4 +1,7 @@
-//! What the owner records of jobs: their ends at once, their progress in batches.
+//! Writes of job records: the ends of jobs are written at once, their progress in batches.
+//!
+//! Each write is conditional on the partition's grant and on the revisions of the records that
+//! it changes. A late or repeated write therefore can't undo a later one.
 
 use super::transaction::Transaction;
 use super::{Effect, OwnedPartition, ProgressPages, UnreapedAttempt, Write};
@@ -6,19 +9,22 @@
 use crate::ids::JobId;
 use crate::store::{Mutation, Reply, keys};
 
-/// A job's progress is batched for this long, and longer where all partitions' progress
-/// would take more of the store's changes than its part.
+/// Shortest interval between two progress writes of one job. The interval gets longer while the
+/// progress of all partitions would exceed its share of the store's write rate.
 const PROGRESS_WRITE_INTERVAL: Micros = Micros::from_millis(2_000);
-/// After a write that was refused or had no answer; the watch brings the revisions.
+/// Time until a failed or unanswered write is repeated. Meanwhile the watch reports the revisions
+/// on which the repeated write is conditional.
 const WRITE_RETRY_INTERVAL: Micros = Micros::from_millis(400);
-/// A job's end takes at least its record, the record of its end and one page.
+/// Fewest mutations that end a job: its live record and one progress page are deleted, and its
+/// ended record is created.
 const MIN_END_MUTATIONS: usize = 3;
-/// Pages of one job's progress in one transaction.
+/// Most progress pages of one job in one transaction.
 const MAX_PAGES_PER_JOB: usize = 4;
-/// What a mutation takes besides its value.
+/// Estimated size of a mutation without its value, in bytes.
 const MUTATION_OVERHEAD_BYTES: usize = 64;
 
-/// A job whose progress may be written now, in the order in which that is done.
+/// A job whose progress may be written now. The order of the fields determines the order in
+/// which jobs are written.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DueProgress {
     only_display: bool,
@@ -27,7 +33,8 @@
 }
 
 impl OwnedPartition {
-    /// Batches of job changes for the store: ends at once, then progress.
+    /// Returns the writes of job changes that are due: first one with the ends of jobs, then one
+    /// with the progress of jobs.
     pub fn take_writes(&mut self, now: Micros, wall_clock: Micros) -> Vec<Effect> {
         let (mut ended, mut progress) = (Vec::new(), Vec::new());
         for id in self.job_writes.dirty_jobs() {
@@ -56,7 +63,7 @@
         effects
     }
 
-    /// An empty transaction that is conditional on the grant.
+    /// Returns an empty transaction that is conditional on the grant.
     pub(super) fn begin_transaction(&self) -> Transaction {
         Transaction::new(self.ownership.compare(), self.settings.max_mutations())
     }
@@ -124,7 +131,7 @@
         (!jobs.is_empty()).then(|| transaction.into_effect(Write::Progress { jobs, reap }))
     }
 
-    /// Takes in the store's answer to a write.
+    /// Handles the store's reply to a write of this owner.
     pub fn handle_store_reply(&mut self, now: Micros, write: Write, reply: &Reply) {
         match write {
             Write::Ends { ends, reap, .. } => {
@@ -161,12 +168,12 @@
                     job.set_page_revision(*page, *revision);
                 }
             }
-            // A job's record never changes while the job lives: it was cancelled, or
-            // ended by our own write that had no answer. The watch will take it out;
-            // until then nothing of it starts.
+            // The record of a live job never changes. So the job was cancelled, or was ended
+            // by an earlier write of this owner that got no reply. None of its tasks starts
+            // until the watch reports that its record was deleted.
             Reply::Conflict(failed) if failed.contains(&keys::job(id)) => self.cancel_job(id),
-            // Not carried out, or perhaps late: either way the revisions decide, and the
-            // watch brings them.
+            // The write was not carried out, or it may still be. Repeating it is safe in both
+            // cases: it is conditional on the revisions that the watch reports.
             _ => {
                 job.mark_unwritten(pages);
                 job.delay_writes_until(now + WRITE_RETRY_INTERVAL);
@@ -175,7 +182,8 @@
         }
     }
 
-    /// A worker forgets an attempt only once its end is stored.
+    /// Allows attempts to be reaped if the write of their ends was committed. Otherwise they wait
+    /// for the next write, because a worker must not forget an attempt whose end is not stored.
     fn reap(&mut self, reap: Vec<UnreapedAttempt>, reply: &Reply) {
         for unreaped in reap {
             if matches!(reply, Reply::Committed(_)) {
@@ -191,6 +199,7 @@
     }
 }
 
+/// Returns the estimated size of a mutation, in bytes.
 fn mutation_size(mutation: &Mutation) -> usize {
     match mutation {
         Mutation::Set { value, .. } => value.to_string().len() + MUTATION_OVERHEAD_BYTES,
--- a/src/partition_owner/lateness.rs
+++ b/src/partition_owner/lateness.rs
@@ -1,14 +1,15 @@
-//! Detection of our own pauses. A controller with too little processor time leaves
-//! heartbeats unread, and must not take that for silence of its machines.
+//! Detection of this controller's own pauses. A controller with too little processor time leaves
+//! heartbeats unread, and must not mistake that for silence of its machines.
 
 use crate::clock::Micros;
 
-/// Ticks that come later than this say that we have too little processor time: heartbeats
-/// wait unread for longer than their senders do (measured: 0.4 to 0.9 s between ticks
-/// while four heartbeats of five timed out, below 0.25 s otherwise).
+/// Longest interval between two ticks at which the later one is on time. Longer intervals mean
+/// that the controller has too little processor time: heartbeats stay unread until their senders
+/// time out. With intervals of 0.4 to 0.9 s, four heartbeats of five timed out. Otherwise the
+/// intervals are below 0.25 s.
 const MAX_TICK_INTERVAL: Micros = Micros::from_millis(400);
 
-/// Since when the ticks have been on time.
+/// Tracks since when the controller's ticks have been on time.
 pub(super) struct LatenessDetector {
     last_tick_at: Micros,
     on_time_since: Micros,
@@ -32,13 +33,13 @@
         self.last_tick_at = now;
     }
 
-    /// Since when no tick has been late: silence before that says nothing about machines,
-    /// nor about our own isolation.
+    /// Returns since when no tick has been late. Silence before that time is evidence neither of
+    /// a machine's failure nor of this controller's isolation.
     pub(super) fn on_time_since(&self) -> Micros {
         self.on_time_since
     }
 
-    /// How many ticks have been late, for operators.
+    /// Returns how many ticks have been late. Operators see the number in the log.
     pub(super) fn late_ticks(&self) -> u32 {
         self.late_ticks
     }
--- a/src/partition_owner/liveness.rs
+++ b/src/partition_owner/liveness.rs
@@ -1,15 +1,15 @@
-//! When the partition's machines last showed that they are alive, all of them taken together,
-//! and since when that says anything.
+//! Liveness of the partition's machines as a whole: when any of them was last in contact, and
+//! since when this controller's ticks have been on time, so that silence is evidence.
 
 use super::lateness::LatenessDetector;
 use crate::clock::Micros;
 
-/// The owner's view of its connection to the machines.
+/// State of the owner's connection to its machines.
 pub(super) struct LivenessView {
     lateness: LatenessDetector,
-    /// When a heartbeat last counted, in the reply to a direct command, too.
+    /// When any machine's heartbeat was last accepted, including replies to direct commands.
     last_contact_at: Micros,
-    /// When a machine last sent a heartbeat that counted by itself.
+    /// When any machine's heartbeat was last accepted, excluding replies to direct commands.
     last_heartbeat_at: Micros,
 }
 
@@ -34,23 +34,25 @@
         self.last_heartbeat_at = now;
     }
 
-    /// Since when our own ticks have been on time.
+    /// Returns since when this controller's ticks have been on time.
     pub(super) fn on_time_since(&self) -> Micros {
         self.lateness.on_time_since()
     }
 
-    /// How many of our own ticks have been late.
+    /// Returns how many of this controller's ticks have been late.
     pub(super) fn late_ticks(&self) -> u32 {
         self.lateness.late_ticks()
     }
 
-    /// Since when no machine at all has been in contact. Guards against taking a pause of our
-    /// own for isolation: what waited meanwhile is read first.
+    /// Returns since when no machine has been in contact. Guards against mistaking a pause of
+    /// this controller for isolation: after a pause, the heartbeats that arrived during it are
+    /// read first.
     pub(super) fn silent_since(&self) -> Micros {
         self.last_contact_at.max(self.on_time_since())
     }
 
-    /// How long ago any machine last sent a heartbeat by itself.
+    /// Returns the time since any machine's heartbeat was last accepted, excluding replies to
+    /// direct commands.
     pub(super) fn since_last_heartbeat(&self, now: Micros) -> Micros {
         now.since(self.last_heartbeat_at)
     }
--- a/src/partition_owner/machine_health.rs
+++ b/src/partition_owner/machine_health.rs
@@ -1,74 +1,89 @@
-//! Which machines are silent, can't be reached or fail, and whether the fault is ours.
+//! Health of the partition's machines: which of them are silent, unreachable or failing, and
+//! which should be released for it.
+//!
+//! A fault of this controller must never lead to a mass release of healthy machines. Silence
+//! therefore counts only while this controller's own ticks are on time.
 
 use super::OwnedPartition;
 use crate::clock::Micros;
 use crate::ids::MachineId;
 use crate::workers::{AttemptPhase, Machine};
 
-/// So many heartbeat intervals after its last heartbeat a machine gets no more tasks.
+/// Time since its last heartbeat after which a machine is sent no more tasks, in heartbeat
+/// intervals.
 const HEARTBEAT_TIMEOUT_INTERVALS: f64 = 2.2;
-/// Heartbeats come within a quarter of their interval; a machine that is later than that, and
-/// the time that a heartbeat takes, is silent. In heartbeat intervals.
+/// Time without contact after which a machine is silent, in heartbeat intervals. A heartbeat
+/// may be late by a quarter of the interval, and takes some time to arrive.
 pub(super) const SILENCE_INTERVALS: f64 = 1.4;
-/// Shorter silence than this may be a busy moment.
+/// Shortest time without contact after which a machine is silent. Shorter gaps may be caused by
+/// a brief overload.
 pub(super) const MIN_SILENCE: Micros = Micros::from_millis(3_000);
-/// A machine that has not sent a heartbeat since a failover has to find its new owner first.
+/// Shortest time without contact after which a machine is silent if it has sent no heartbeat
+/// since a failover. Its worker has to find the new owner first.
 const MIN_SILENCE_AFTER_FAILOVER: Micros = Micros::from_millis(5_000);
 
-/// A machine that sends no heartbeat for so long after it was added does not come up.
+/// Time after it was added within which a new machine must send its first heartbeat. After that
+/// its boot counts as failed.
 const BOOT_TIMEOUT: Micros = Micros::from_millis(180_000);
-/// A machine of a failover that stays silent for at least so long, and for so many heartbeat
-/// intervals, is released.
+/// Shortest time since a failover after which a machine that is still unconfirmed is released.
 const MIN_UNCONFIRMED_TIMEOUT: Micros = Micros::from_millis(6_000);
+/// Time since a failover after which a machine that is still unconfirmed is released, in
+/// heartbeat intervals.
 const UNCONFIRMED_TIMEOUT_INTERVALS: f64 = 1.6;
-/// If no machine has sent a heartbeat for so long, the fault is ours and not theirs.
+/// Longest time without a heartbeat from any machine during which machines may be released.
+/// After a longer gap, the fault is taken to be on this controller's side.
 const MAX_HEARTBEAT_GAP: Micros = Micros::from_millis(4_000);
-/// Machines that are released at once: so many, and one of each so many.
+/// Machines that may be released at once, whatever the size of the partition.
 const MIN_RELEASE_BATCH: usize = 2;
+/// One more machine may be released at once for each of this many machines in the partition.
 const MACHINES_PER_RELEASE: usize = 10;
 
-/// We are isolated if none of at least so many machines is in contact for at least so long, and
-/// for so many heartbeat intervals.
+/// Fewest machines that must have been in contact once before the owner can count as isolated.
 const MIN_MACHINES_FOR_ISOLATION: usize = 2;
+/// Shortest time without contact to any machine after which the owner counts as isolated.
 const MIN_ISOLATION_TIMEOUT: Micros = Micros::from_millis(8_000);
+/// Time without contact to any machine after which the owner counts as isolated, in heartbeat
+/// intervals.
 const ISOLATION_TIMEOUT_INTERVALS: f64 = 1.5;
 
 impl OwnedPartition {
-    /// The time of so many heartbeats of one machine.
+    /// Returns the duration of `count` heartbeat intervals.
     pub(super) fn heartbeat_intervals(&self, count: f64) -> Micros {
         Micros::from_secs(self.settings.platform.workers.heartbeat_interval_s * count)
     }
 
-    /// How long after its last heartbeat a machine may still be sent tasks.
+    /// Returns how long after its last heartbeat a machine may still be sent tasks.
     pub(super) fn heartbeat_timeout(&self) -> Micros {
         self.heartbeat_intervals(HEARTBEAT_TIMEOUT_INTERVALS)
     }
 
-    /// After this silence a machine is released.
+    /// Returns the time without contact after which a machine is released.
     pub(super) fn release_timeout(&self) -> Micros {
         self.policy.silence_timeout.max(self.heartbeat_timeout())
     }
 
-    /// How long a machine that sends heartbeats regularly may be without contact.
+    /// Returns the longest time without contact at which a machine is not silent yet.
     pub(super) fn max_contact_gap(&self) -> Micros {
         let regular = self.heartbeat_intervals(SILENCE_INTERVALS);
         regular.max(MIN_SILENCE)
     }
 
-    /// Machines that are to be released get nothing more to do until they are in contact again.
+    /// Cordons machines that are to be released: they get no new tasks until they are in contact
+    /// again.
     pub fn cordon(&mut self, releasable: &[MachineId]) {
         for id in releasable {
             let Some(machine) = self.machines.get_mut(id) else {
                 continue;
             };
-            // What was never in contact may still be booting.
+            // A machine that was never in contact may still be booting.
             if machine.last_contact_at().is_some() {
                 machine.cordon();
             }
         }
     }
 
-    /// Whether no machine of the partition is in contact any more: it is we who are isolated.
+    /// Returns whether this owner is isolated: no machine of the partition is in contact any
+    /// more, so the fault is on this side.
     pub fn is_isolated(&self, now: Micros) -> bool {
         let known = self.machines.values();
         let known = known.filter(|machine| machine.last_contact_at().is_some());
@@ -78,7 +93,8 @@
             && now.since(self.liveness.silent_since()) > timeout
     }
 
-    /// Whether a machine is silent for longer than it should be.
+    /// Returns whether a machine has been without contact for too long. Time before this owner's
+    /// ticks were on time does not count.
     pub(super) fn is_silent(&self, now: Micros, machine: &Machine) -> bool {
         let max_gap = self.max_contact_gap();
         let on_time_since = self.liveness.on_time_since();
@@ -94,25 +110,27 @@
         }
     }
 
-    /// Machines that should be released: silent ones, those that our answers don't reach, and
-    /// quarantined ones that are idle.
+    /// Returns the machines that should be released: silent ones, those that neither responses
+    /// nor direct commands reach, and idle ones that may not be given tasks. The number is
+    /// bounded. Empty if the fault may be this controller's own.
     pub fn releasable_machines(&self, now: Micros) -> Vec<MachineId> {
         let since_last_heartbeat = self.liveness.since_last_heartbeat(now);
         if self.machines.len() > 1 && since_last_heartbeat > MAX_HEARTBEAT_GAP {
             return Vec::new();
         }
-        // Should so many be silent at once, the first to be released show whether it is them.
+        // If many machines are silent at once, only some are released at first. They show
+        // whether the machines are at fault.
         let max_released = MIN_RELEASE_BATCH + self.machines.len() / MACHINES_PER_RELEASE;
-        // And if our answers don't reach so many, it is ours that get lost.
+        // If more machines than that are unreachable, the fault is on this controller's side.
         let unreachable = self
             .machines
             .values()
             .filter(|machine| machine.is_unreachable());
-        let is_fault_theirs = unreachable.count() <= max_released;
+        let is_machine_fault = unreachable.count() <= max_released;
         let is_releasable = |id: &MachineId, machine: &Machine| {
             let is_lost = self.is_contact_lost(now, machine)
                 || self.are_heartbeats_lost(now, machine)
-                || is_fault_theirs && machine.is_unreachable();
+                || is_machine_fault && machine.is_unreachable();
             is_lost && !self.is_retained_with_zone(now, id, machine)
                 || !machine.is_schedulable() && is_idle(machine)
         };
@@ -122,9 +140,9 @@
         ids.take(max_released).collect()
     }
 
-    /// Whether a machine was without contact for so long that it is released. Guards against a
-    /// mass release after a pause of our own: each machine has its full time to be in contact
-    /// from then on.
+    /// Returns whether a machine has been without contact for so long that it is released.
+    /// Guards against a mass release after a pause of this controller: after the pause, each
+    /// machine has its full time to be in contact again.
     fn is_contact_lost(&self, now: Micros, machine: &Machine) -> bool {
         let on_time_since = self.liveness.on_time_since();
         match machine.last_contact_at() {
@@ -132,7 +150,8 @@
                 let since = contact_at.max(on_time_since).max(machine.added_at());
                 now.since(since) > self.release_timeout()
             }
-            // Old jobs wait for it, and a live one answers our direct command at once.
+            // A short timeout is enough: a live worker replies to a direct command at once, and
+            // jobs from before the failover wait until the machine is confirmed or released.
             None if machine.is_unconfirmed() => {
                 let timeout = MIN_UNCONFIRMED_TIMEOUT
                     .max(self.heartbeat_intervals(UNCONFIRMED_TIMEOUT_INTERVALS));
@@ -142,9 +161,10 @@
         }
     }
 
-    /// Whether a machine is alive, as the replies to direct commands show, but its heartbeats
-    /// reach no controller: it keeps what it has until its lease expires, and is replaced as
-    /// soon as it has nothing, or nothing to come of it.
+    /// Returns whether a machine is to be released because its heartbeats reach no controller,
+    /// although its replies to direct commands show that it is alive. The machine keeps its
+    /// attempts until its worker's lease expires. It is released once it is idle, or once the
+    /// lease has expired and its attempts can't complete any more.
     fn are_heartbeats_lost(&self, now: Micros, machine: &Machine) -> bool {
         if machine.last_contact_at().is_none() {
             return false;
@@ -160,8 +180,8 @@
             && (has_nothing || now.since(machine.lease_started_at()) > lease)
     }
 
-    /// Whether a machine that is silent with its zone waits for the zone's turn. Those that
-    /// fail by themselves do not.
+    /// Returns whether a silent machine is not released for now because its zone is suspect or
+    /// lost: such machines are released in waves. A machine that fails by itself is not retained.
     fn is_retained_with_zone(&self, now: Micros, id: &MachineId, machine: &Machine) -> bool {
         let evacuation = self.zone_evacuation.as_ref();
         evacuation.is_some_and(|evacuation| evacuation.retains(now, id, &machine.spec.zone))
--- a/src/partition_owner/machine_writes.rs
+++ b/src/partition_owner/machine_writes.rs
@@ -1,5 +1,7 @@
-//! What the owner records of its machines, in their shards: that they are in use, and that
-//! they leave the partition.
+//! Writes of the partition's machine shards: they record which machines are used, and which are
+//! released from the partition.
+//!
+//! At most one such write is in flight at a time.
 
 use super::idle_release::{IdleRelease, UnmetRequest};
 use super::{Effect, OwnedPartition, Write};
@@ -11,15 +13,15 @@
 use crate::watch_cache::WatchCache;
 use crate::workers::{Machine, ReleaseOutcome};
 
-/// Between two writes of machines that are in use from now on.
+/// Shortest interval between two writes that record machines as used.
 const USE_WRITE_INTERVAL: Micros = Micros::from_millis(700);
-/// Between two writes of machines that are released.
+/// Shortest interval between two writes that release machines.
 const RELEASE_WRITE_INTERVAL: Micros = Micros::from_millis(500);
 
-/// The writes of machine shards: one is in flight at a time.
+/// State of the writes of machine shards.
 pub(super) struct MachineWrites {
     in_flight: bool,
-    /// Machines may have sent a heartbeat that are not recorded as used.
+    /// Whether machines that are not recorded as used may have sent a heartbeat.
     use_pending: bool,
     last_use_write_at: Micros,
     last_release_write_at: Micros,
@@ -35,14 +37,16 @@
         }
     }
 
-    /// A machine is up that may have to be recorded as used.
+    /// Requests a write that records machines as used.
     pub(super) fn request_use_write(&mut self) {
         self.use_pending = true;
     }
 
-    /// Whether machines are to be recorded as used now. Batched: many come up at once, and the
-    /// cache may lag behind our own last write, so that the next one would fail as fast as the
-    /// store can answer.
+    /// Returns whether machines are to be recorded as used now, and clears the request if so.
+    ///
+    /// These writes are batched because many machines come up at once. Moreover, the cache may
+    /// lag behind this owner's last write: writes that depend on its outdated revisions would
+    /// fail, and be repeated as fast as the store replies.
     fn begin_use_write(&mut self, now: Micros) -> bool {
         let is_due = now.since(self.last_use_write_at) >= USE_WRITE_INTERVAL;
         if self.in_flight || !is_due || !self.use_pending {
@@ -59,7 +63,9 @@
 }
 
 impl OwnedPartition {
-    /// Records machines that sent their first heartbeat as used, before the first launch there.
+    /// Returns the write that records machines which have sent their first heartbeat as used, or
+    /// `None` if no such write is due. No task is launched on a machine before it is recorded as
+    /// used.
     pub fn record_used_machines(&mut self, now: Micros, cache: &WatchCache) -> Option<Effect> {
         if !self.machine_writes.begin_use_write(now) {
             return None;
@@ -76,7 +82,9 @@
         self.change_shards(cache, mark_used, Write::UseMachines)
     }
 
-    /// Releases idle machines: to other partitions that lack room, or back to the cloud.
+    /// Returns the write that releases idle machines, to other partitions that lack capacity or
+    /// to the cloud, or `None` if no such write is due. `own` and `others` are the capacity
+    /// requests of this partition and of the other partitions.
     pub fn release_idle_machines(
         &mut self,
         now: Micros,
@@ -104,8 +112,10 @@
         Some(effect)
     }
 
-    /// Changes shards by what `change` does to each machine's record: one write of as many
-    /// shards as a transaction takes. The rest follows in the next.
+    /// Applies `change` to the records of the partition's machines, and returns one write of as
+    /// many changed shards as a transaction can hold, or `None` if nothing changes. `change`
+    /// returns whether it has changed the record. Shards that do not fit are left to a later
+    /// write.
     fn change_shards(
         &mut self,
         cache: &WatchCache,
@@ -118,8 +128,9 @@
         let mut free_shards = cache.free_shards(self.id());
         for (shard, revision, old) in cache.shards(self.id()) {
             let is_oversize = old.is_oversize(value_bytes);
-            // What an earlier version wrote under a higher limit is written in parts, and
-            // in one transaction: a machine is in one of them at any time.
+            // An earlier version may have written the shard under a higher value limit. It is
+            // split, and all parts are written in one transaction, so that each machine is in
+            // exactly one shard at any time.
             let part_count = if is_oversize {
                 (**old).clone().split(value_bytes).len()
             } else {
@@ -151,8 +162,8 @@
         Some(transaction.into_effect(write(changed)))
     }
 
-    /// A shard with its changed records, whose machines are added to `changed`; none: nothing
-    /// of it changes.
+    /// Returns a copy of a shard with its changed records, or `None` if no record changes. Adds
+    /// the machines of the changed records to `changed`.
     fn change_shard(
         &mut self,
         revision: Revision,
@@ -177,7 +188,7 @@
 
     pub(super) fn handle_use_reply(&mut self, ids: &[MachineId], reply: &Reply) {
         self.machine_writes.in_flight = false;
-        // Those that did not fit into this write, or whose write failed.
+        // Another write follows for machines that did not fit into this one, or if it failed.
         self.machine_writes.request_use_write();
         if !matches!(reply, Reply::Committed(_)) {
             return;
@@ -194,9 +205,9 @@
         self.machine_writes.in_flight = false;
         let outcome = match reply {
             Reply::Committed(_) => ReleaseOutcome::Committed,
-            // Surely not done, and it never will be: they stay ours.
+            // The write was not carried out and never will be: the partition keeps the machines.
             Reply::Conflict(_) | Reply::Rejected => ReleaseOutcome::Rejected,
-            // It may still be done, so they are not used meanwhile.
+            // The write may still be carried out: the machines are not used in the meantime.
             _ => ReleaseOutcome::Indeterminate,
         };
         for id in ids {
--- a/src/partition_owner/mod.rs
+++ b/src/partition_owner/mod.rs
@@ -1,11 +1,13 @@
-//! A partition in the hands of its owner: its teams' jobs, its machines, and what is decided
-//! about them. Everything that must be decided together (a team's limit, zones, one machine per
-//! task) is decided here, in one place.
+//! The owner of a partition: it schedules the jobs of the partition's teams on the partition's
+//! machines. Decisions that depend on each other (a team's limit, zone constraints, at most one
+//! machine per task) are all made here.
 //!
-//! [`OwnedPartition`] owns the state, grouped by concern; each module adds the methods of one
-//! concern. It takes in messages and time, and returns [`Effect`]s: it must never do input or
-//! output itself, nor act for a partition whose grant it does not hold. Every write is
-//! conditional on that grant.
+//! [`OwnedPartition`] owns the state, grouped by concern. Each submodule adds the methods of one
+//! concern.
+//!
+//! The owner receives messages and the current time, and returns [`Effect`]s. It must never do
+//! input or output itself, and never act for a partition whose grant it does not hold. Every
+//! write is conditional on that grant.
 
 mod attempt_events;
 mod capacity;
@@ -59,21 +61,21 @@
 use std::rc::Rc;
 use unknown_jobs::UnknownJobs;
 
-/// What must stop at once gets no time to save a checkpoint.
+/// Grace period, in seconds, of an attempt that must stop at once: it gets no time to save a
+/// checkpoint.
 const NO_GRACE_PERIOD_S: f64 = 0.0;
 
-/// A partition in the hands of this controller.
+/// A partition that is owned by this controller.
 pub struct OwnedPartition {
     ownership: Ownership,
     settings: Rc<Settings>,
     policy: Rc<Policy>,
-    /// The machine types, for their prices.
+    /// Machine types that the cloud offers, needed for their prices.
     machine_types: Rc<[MachineType]>,
-    /// The partition's machines.
     machines: BTreeMap<MachineId, Machine>,
     /// The jobs of the partition's teams.
     jobs: BTreeMap<JobId, Job>,
-    /// What each team uses: always the sum of the machines' loads.
+    /// Usage of each team. It always equals the sum of the machines' loads.
     usage: UsageByTeam,
     unknown_jobs: UnknownJobs,
     failover: FailoverState,
@@ -83,13 +85,14 @@
     job_writes: PendingJobWrites,
     machine_writes: MachineWrites,
     hand_back: HandBack,
-    /// None: zone failover is off.
+    /// `None` if zone failover is disabled.
     zone_evacuation: Option<ZoneEvacuation>,
     checks: PeriodicChecks,
 }
 
 impl OwnedPartition {
-    /// A partition that has just been granted, still empty.
+    /// Creates the state of a partition that has just been granted, without machines or jobs.
+    /// [`OwnedPartition::fail_over`] loads them from the cache.
     pub fn new(
         partition: PartitionId,
         record: &PartitionOwnerRecord,
@@ -99,7 +102,8 @@
         now: Micros,
     ) -> Self {
         let ownership = Ownership::new(partition, record, revision, settings, now);
-        // All partitions together leave most changes to what can't wait.
+        // Each partition gets an equal share of the store's mutations per second. Progress
+        // writes use only a part of it: most mutations are left to writes that can't wait.
         let write_rate =
             settings.platform.state.lowest_write_rps() / policy.partition_count(settings) as f64;
         OwnedPartition {
@@ -123,27 +127,29 @@
         }
     }
 
-    /// Which partition.
+    /// Returns the partition's ID.
     pub fn id(&self) -> PartitionId {
         self.ownership.partition()
     }
 
-    /// The term of its grant.
+    /// Returns the term of the grant under which this controller owns the partition.
     pub fn term(&self) -> Term {
         self.ownership.term()
     }
 
-    /// Since when it is owned.
+    /// Returns when this controller received the grant of the partition.
     pub fn granted_at(&self) -> Micros {
         self.ownership.granted_at()
     }
 
-    /// Machines that were compared with a class, for counting what scheduling costs.
+    /// Returns how many comparisons of a machine with a class of tasks the scheduler has made
+    /// under this grant: a measure of the cost of scheduling.
     pub fn machines_compared(&self) -> usize {
         self.scheduling.machines_compared()
     }
 
-    /// The store has cancelled a job: nothing more of it starts.
+    /// Marks a job as ended after its record was deleted from the store, and stops its attempts.
+    /// No further task of the job starts.
     pub fn cancel_job(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id).filter(|job| !job.is_ended()) {
             job.mark_ended();
@@ -152,7 +158,8 @@
         }
     }
 
-    /// Stops all that a cancelled job has, or may have, on machines.
+    /// Stops all attempts of a cancelled job, including those whose launch may still arrive at
+    /// a machine.
     fn stop_job(&mut self, id: &JobId) {
         for (machine_id, machine) in &mut self.machines {
             if !machine.attempts.keys().any(|key| key.task.job == *id) {
@@ -166,10 +173,11 @@
         }
     }
 
-    /// An attempt ended without a result.
-    fn requeue(&mut self, key: &AttemptKey, on: &MachineId) {
+    /// Requeues a task after its attempt on `machine_id` ended without a result, unless the task
+    /// is active on another machine.
+    fn requeue(&mut self, key: &AttemptKey, machine_id: &MachineId) {
         if let Some(job) = self.jobs.get_mut(&key.task.job)
-            && job.active().get(&key.task.index) == Some(on)
+            && job.active().get(&key.task.index) == Some(machine_id)
         {
             job.requeue(key.task.index);
             self.job_writes.mark_dirty(&key.task.job);
@@ -177,7 +185,7 @@
         self.scheduling.request_pass();
     }
 
-    /// The attempts on a machine changed: so does what their teams use.
+    /// Updates the teams' usage after the attempts on a machine have changed.
     fn update_usage(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id) {
             let load = machine.compute_load();
@@ -189,7 +197,7 @@
         }
     }
 
-    /// What decisions on placement depend on, as it stands now.
+    /// Returns the current state that placement decisions depend on.
     fn snapshot<'a>(
         &'a self,
         now: Micros,
--- a/src/partition_owner/ownership.rs
+++ b/src/partition_owner/ownership.rs
@@ -1,5 +1,5 @@
-//! The grant under which this controller owns a partition. It never changes while the
-//! partition is owned: a new grant makes a new [`super::OwnedPartition`].
+//! The grant under which this controller owns a partition. A grant is immutable: each new grant
+//! creates a new [`super::OwnedPartition`].
 
 use crate::clock::Micros;
 use crate::ids::{PartitionId, Revision, Term};
@@ -11,9 +11,9 @@
 pub(super) struct Ownership {
     partition: PartitionId,
     term: Term,
-    /// The revision of the owner record: each write is conditional on it.
+    /// Revision of the partition's owner record. Each write of this owner is conditional on it.
     revision: Revision,
-    /// The partition's teams, by their places in the settings.
+    /// Indexes of the partition's teams in the settings.
     teams: Vec<usize>,
     granted_at: Micros,
 }
@@ -56,12 +56,12 @@
         self.granted_at
     }
 
-    /// The condition of every write of this owner: the grant still stands.
+    /// Returns the condition of every write of this owner: the owner record is unchanged.
     pub(super) fn compare(&self) -> Compare {
         Compare::new(keys::partition_owner(self.partition), self.revision)
     }
 
-    /// The change that leaves the partition without an owner, under the same term.
+    /// Returns the mutation that leaves the partition without an owner, under the same term.
     pub(super) fn release(&self, settings: &Settings) -> Mutation {
         let teams = self.teams.iter();
         let record = PartitionOwnerRecord {
--- a/src/partition_owner/periodic_checks.rs
+++ b/src/partition_owner/periodic_checks.rs
@@ -1,5 +1,5 @@
-//! What changes by time alone: leases that expire, machines that should be probed, and those
-//! that the cloud is about to take back.
+//! Checks of what changes with time alone and not with messages: worker leases that expire,
+//! machines that should be probed, and machines that the cloud is about to preempt.
 
 use super::OwnedPartition;
 use super::machine_health::SILENCE_INTERVALS;
@@ -9,17 +9,18 @@
 use crate::jobs::Job;
 use crate::workers::{Attempt, AttemptKey, AttemptPhase, Machine};
 
-/// What does not depend on messages is checked this often.
+/// Interval between two rounds of checks.
 const CHECK_INTERVAL: Micros = Micros::from_millis(500);
-/// Between two attempts at failback.
+/// Shortest interval between two rounds of failback.
 const FAILBACK_INTERVAL: Micros = Micros::from_millis(5_000);
-/// Machines of a failover send heartbeats by themselves; those that have not by then are sent
-/// the fencing token.
+/// Time after a failover until unconfirmed machines are sent the fencing token in a direct
+/// command. Most machines send a heartbeat by themselves before that.
 const TOKEN_COMMAND_DELAY: Micros = Micros::from_millis(2_500);
-/// A checkpoint takes as long as the job says; commands and heartbeats take this much more.
+/// Time that commands and heartbeats take in addition to a checkpoint before a preemption, in
+/// seconds. The time for the checkpoint itself is stated by the job.
 const PREEMPTION_NOTICE_MARGIN_S: f64 = 3.0;
 
-/// When what time alone changes was checked last.
+/// When the checks were last made.
 pub(super) struct PeriodicChecks {
     last_check_at: Micros,
     last_failback_at: Micros,
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Whether the checks are due; if so, they are taken for done.
+    /// Returns whether the checks are due. If so, records that they are made now.
     fn begin_check(&mut self, now: Micros) -> bool {
         let is_due = now.since(self.last_check_at) >= CHECK_INTERVAL;
         if is_due {
@@ -42,7 +43,7 @@
         is_due
     }
 
-    /// The same for failback.
+    /// Returns whether a round of failback is due. If so, records that it is made now.
     pub(super) fn begin_failback(&mut self, now: Micros) -> bool {
         let is_due = now.since(self.last_failback_at) >= FAILBACK_INTERVAL;
         if is_due {
@@ -53,7 +54,8 @@
 }
 
 impl OwnedPartition {
-    /// What time alone changes, and what follows from all that changed before.
+    /// Runs the checks that are due, then a scheduling pass if one is due. The controller calls
+    /// this regularly; late calls count as pauses of the controller.
     pub fn tick(&mut self, now: Micros, wall_clock: Micros, fleet: Resources) {
         self.liveness.record_tick(now);
         if self.checks.begin_check(now) {
@@ -72,12 +74,14 @@
         self.request_probes(now);
         self.stop_before_preemption(now);
         self.update_recovery(now);
-        // Back-off ends, slack shrinks, and machines change without any message.
+        // Back-offs end, the slack of jobs shrinks, and the state of machines changes without
+        // any message.
         let has_waiting_work = self.jobs.values().any(Job::wants_machines);
         self.scheduling.request_pass_if(has_waiting_work);
     }
 
-    /// Whatever ran under an expired lease has surely stopped.
+    /// Requeues the tasks of machines whose worker's lease has expired. By then the worker has
+    /// stopped all its attempts.
     fn expire_worker_leases(&mut self, now: Micros) {
         let lease_timeout = self.settings.worker_lease_timeout();
         let mut expired: Vec<MachineId> = Vec::new();
@@ -108,8 +112,8 @@
         }
     }
 
-    /// Requests direct commands to machines that are late, and to those that have not shown our
-    /// fencing token yet.
+    /// Requests direct commands to machines whose heartbeats are late, and to machines that have
+    /// not shown this owner's fencing token yet.
     fn request_probes(&mut self, now: Micros) {
         let is_token_due = now.since(self.granted_at()) > TOKEN_COMMAND_DELAY;
         let probe_after = self.heartbeat_intervals(SILENCE_INTERVALS) + CHECK_INTERVAL;
@@ -118,7 +122,7 @@
             let contact_at = machine.last_contact_at();
             let silence = contact_at.map_or(Micros::ZERO, |contact_at| now.since(contact_at));
             if silence > probe_after && silence < release_timeout {
-                // Better to know before something is started there.
+                // The probe shows whether the machine is alive before a task is started on it.
                 machine.request_probe();
             }
             if machine.needs_probe() || machine.is_unconfirmed() && is_token_due {
@@ -127,7 +131,8 @@
         }
     }
 
-    /// Stops what saves checkpoints just before the cloud takes its machine.
+    /// Stops attempts that save checkpoints, just in time before the cloud preempts their
+    /// machine.
     fn stop_before_preemption(&mut self, now: Micros) {
         for (id, machine) in &mut self.machines {
             let Some(preempted_at) = machine.preempted_at() else {
@@ -141,8 +146,8 @@
     }
 }
 
-/// The running attempts that have to save now on a machine that is taken after `remaining`, and
-/// how long that takes, in seconds.
+/// Returns the running attempts that have to save a checkpoint now on a machine that is preempted
+/// after `remaining`, each with the duration of its checkpoint in seconds.
 fn due_checkpoints(machine: &Machine, remaining: Micros) -> Vec<(AttemptKey, f64)> {
     let due = |(key, attempt): (&AttemptKey, &Attempt)| {
         if attempt.phase != AttemptPhase::Running || attempt.is_stopping() {
--- a/src/partition_owner/reconcile.rs
+++ b/src/partition_owner/reconcile.rs
@@ -1,5 +1,5 @@
-//! Reconciliation with the store: the partition's machines, its jobs, their progress, and the
-//! state of the jobs that they depend on.
+//! Reconciliation with the store: updates the owner's machines, jobs, progress and job
+//! dependencies from the watch cache.
 
 use super::OwnedPartition;
 use crate::clock::Micros;
@@ -14,12 +14,13 @@
 use crate::workers::{Machine, MachineSpec};
 use std::collections::BTreeSet;
 
-/// The rate at which a machine fetches images where its type is unknown.
+/// Rate at which a machine of an unknown type is assumed to fetch images.
 const DEFAULT_IMAGE_FETCH_GB_PER_S: f64 = 1.0;
 
 impl OwnedPartition {
-    /// Takes over what the cache has, at the grant. What ran before is learnt from heartbeats:
-    /// until a machine has sent one under our fencing token, it may run anything.
+    /// Loads the partition's machines and jobs from the cache when the partition is granted. The
+    /// attempts that are running are known only from heartbeats: until a machine has sent one
+    /// under this owner's fencing token, it may run any task of the earlier owner.
     pub fn fail_over(&mut self, now: Micros, cache: &WatchCache, types: &[MachineType]) {
         self.scheduling.set_machine_types(types);
         self.machine_types = types.into();
@@ -33,8 +34,8 @@
         }
     }
 
-    /// Takes in the whole cache: the store was read from the start while we owned the
-    /// partition all along.
+    /// Reconciles with the whole cache after the store was read again from the start while this
+    /// controller kept the partition.
     pub fn reload(&mut self, now: Micros, cache: &WatchCache, types: &[MachineType]) {
         let known = self.machines.values().map(|machine| machine.spec.shard);
         let stored = cache.shards(self.id()).map(|(shard, ..)| shard);
@@ -51,8 +52,9 @@
         }
     }
 
-    /// Takes in a shard of the partition's machines that changed in the store. `at_grant`: it
-    /// is read for the first time after a failover, so that its used machines may run anything.
+    /// Reconciles the machines with a shard that changed in the store. `at_grant` says that the
+    /// shard is read for the first time after a failover, so that its used machines may run any
+    /// task of the earlier owner.
     pub fn reconcile_shard(
         &mut self,
         now: Micros,
@@ -89,9 +91,9 @@
         self.scheduling.request_pass();
     }
 
-    /// Removes a shard's machines that are not recorded in the partition any more. The leader
-    /// takes a machine out only after the cloud has said that it and all that was on it are
-    /// lost; or we released it, idle.
+    /// Removes a shard's machines that are not recorded in the partition any more, and requeues
+    /// their tasks. Nothing runs on such a machine: either this owner released it while it was
+    /// idle, or the leader removed it after the cloud had reported it as lost.
     fn remove_lost_machines(&mut self, shard: u32, cache: &WatchCache) {
         let is_in_partition = |id: &MachineId| {
             cache.machine(id).is_some_and(|((partition, _), record)| {
@@ -117,7 +119,7 @@
         }
     }
 
-    /// A machine as its record has it.
+    /// Creates a machine from its record.
     fn machine_of(
         &self,
         now: Micros,
@@ -146,7 +148,8 @@
         machine
     }
 
-    /// Takes in a job that changed in the store.
+    /// Reconciles a job that changed in the store: adds it, or removes it if its record was
+    /// deleted.
     pub fn reconcile_job(&mut self, id: &JobId, cache: &WatchCache) {
         match cache.jobs.get(id) {
             Some(Versioned { revision, record }) => self.add_job(id, *revision, record, cache),
@@ -166,7 +169,8 @@
         self.stop_job(id);
     }
 
-    /// Adds a job of one of our teams, unless it is known already: its record never changes.
+    /// Adds a job of one of the partition's teams, unless it is known already. A job's record
+    /// never changes, so a known job needs no update.
     fn add_job(&mut self, id: &JobId, revision: Revision, record: &JobRecord, cache: &WatchCache) {
         let Some(team) = self.settings.team(&record.desc.team) else {
             return;
@@ -182,14 +186,16 @@
         for (page, revision, progress) in cache.progress(id) {
             job.restore_progress(page, revision, progress);
         }
-        // A job whose last task was stored but not its end is ended by us.
+        // An earlier owner may have stored that the last task is done, but not the job's end.
+        // This owner then writes the end.
         self.job_writes.mark_dirty(id);
         self.jobs.insert(id.clone(), job);
         self.scheduling.request_pass();
     }
 
-    /// Takes in a change of the dependency graph: which jobs may start, which are cancelled
-    /// with a job that they depend on, and what they inherit from those that depend on them.
+    /// Updates jobs after a change of the dependency graph: which jobs may start, which are
+    /// cancelled together with a job that they depend on, and which properties they inherit from
+    /// jobs that depend on them.
     pub fn update_dependencies(&mut self, graph: &DependencyGraph) {
         for (id, job) in &mut self.jobs {
             let is_changed = job.set_inherited(graph.inherited(id));
@@ -218,8 +224,8 @@
         }
     }
 
-    /// Takes in a page of a job's progress that changed: by our own write, one without an
-    /// answer included.
+    /// Reconciles the revision of a page of a job's progress that changed in the store. The
+    /// change is this owner's own, possibly from a write that got no reply.
     pub fn reconcile_progress_page(&mut self, id: &JobId, page: u32, cache: &WatchCache) {
         if let Some(Versioned { revision, .. }) = cache.progress_pages.get(&(id.clone(), page))
             && let Some(job) = self.jobs.get_mut(id)
--- a/src/partition_owner/scheduling.rs
+++ b/src/partition_owner/scheduling.rs
@@ -1,5 +1,7 @@
-//! What to start and what to preempt: passes over the whole partition, and refills of single
-//! machines between them.
+//! Scheduling: decides which tasks to start and which attempts to preempt.
+//!
+//! A pass considers the whole partition. Between passes, a machine that gets free capacity is
+//! refilled alone, which is cheaper.
 
 use super::OwnedPartition;
 use crate::clock::Micros;
@@ -10,28 +12,29 @@
 };
 use crate::workers::{Attempt, AttemptKey, AttemptPhase};
 
-/// The bounds of a pass over the partition.
+/// Bounds of a pass over the partition.
 const PASS_LIMITS: PassLimits = PassLimits {
     max_jobs_per_team: 400,
     max_placements: 400,
 };
-/// The bounds of refilling one machine.
+/// Bounds of refilling one machine.
 const REFILL_LIMITS: PassLimits = PassLimits {
     max_jobs_per_team: 48,
     max_placements: 400,
 };
 
-/// How the commands to start attempts reach their machines.
+/// Way in which the commands to launch attempts reach their machines.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum LaunchDelivery {
-    /// By a direct command.
+    /// In a direct command.
     DirectCommand,
-    /// In the answer to the heartbeat that is being handled.
+    /// In the response to the heartbeat that is being handled.
     HeartbeatResponse,
 }
 
 impl OwnedPartition {
-    /// Decides over the whole partition what to start, if anything changed.
+    /// Runs a pass over the whole partition if one is due: starts tasks, and preempts attempts
+    /// for tasks that found no room.
     pub(super) fn schedule(&mut self, now: Micros, wall_clock: Micros, fleet: Resources) {
         if self.is_being_handed_back() || !self.scheduling.begin_pass(now) {
             return;
@@ -52,7 +55,8 @@
         }
     }
 
-    /// Starts what finds room in the partition; how many machines that compared.
+    /// Starts the queued tasks that find room in the partition. Returns the number of machines
+    /// that were compared, which determines when the next pass is due.
     fn place(
         &mut self,
         now: Micros,
@@ -79,7 +83,8 @@
         compared
     }
 
-    /// Holds freed room for the head job that waits for it, and for no other any more.
+    /// Holds free capacity for the job that the pass found to be first in line without room, and
+    /// releases the capacity that was held before.
     fn hold(&mut self, pass: &PlacementPass) {
         let held = match &pass.held {
             Some((_, machines)) => machines.clone(),
@@ -100,8 +105,8 @@
         }
     }
 
-    /// Room got free on a machine that is about to be answered: what comes next there is
-    /// decided without comparing any other machine.
+    /// Starts queued tasks in the free capacity of a machine whose heartbeat is about to be
+    /// answered. No other machine is compared.
     pub(super) fn refill_machine(
         &mut self,
         now: Micros,
@@ -127,6 +132,7 @@
         self.start(now, wall_clock, pass.placements, delivery);
     }
 
+    /// Starts attempts for the placed tasks.
     fn start(
         &mut self,
         now: Micros,
@@ -146,7 +152,8 @@
         }
     }
 
-    /// Whether the job and the machine are still there.
+    /// Starts an attempt of the placed task. Returns false if its job or its machine no longer
+    /// exists.
     fn start_attempt(&mut self, now: Micros, wall_clock: Micros, placement: Placement) -> bool {
         let term = self.ownership.term();
         let attempt_id = self.scheduling.next_attempt(term);
@@ -165,7 +172,8 @@
         job.start(index, machine_id.clone());
         job.last_start_at = wall_clock;
         if job.is_failing() {
-            // Until these have ended, no others of it are tried.
+            // A failing job backs off with each start, so that the tasks started now can end
+            // before others of it are tried.
             job.back_off(now);
         }
         let attempt = Attempt::new(AttemptPhase::Launching, now, Some((job.team, &job.desc)));
@@ -181,7 +189,7 @@
         true
     }
 
-    /// Stops work for what found no room and comes before it.
+    /// Preempts attempts for queued tasks that found no room and take precedence over them.
     fn preempt(&mut self, now: Micros, wall_clock: Micros, fleet: Resources) {
         let plan = placement::plan_preemption(&self.snapshot(now, wall_clock, fleet));
         self.scheduling
--- a/src/partition_owner/scheduling_state.rs
+++ b/src/partition_owner/scheduling_state.rs
@@ -1,4 +1,5 @@
-//! When the partition is scheduled again, and what the last pass left for the time between.
+//! State of the scheduler between two passes over the partition: when the next pass and the next
+//! preemption are due, and the results of the last pass that are used until then.
 
 use crate::clock::Micros;
 use crate::cloud::MachineType;
@@ -8,30 +9,31 @@
 use crate::placement::{ConstrainedDemand, Queues};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Passes over the partition come no faster than this, and later the more they cost.
+/// Shortest interval between two passes over the partition. Expensive passes extend it, by
+/// [`PASS_DELAY_PER_COMPARISON_US`].
 const MIN_PASS_INTERVAL: Micros = Micros::from_millis(40);
-/// How much later the next pass comes for each machine that a pass compared, in microseconds.
+/// Additional delay of the next pass for each machine that a pass compared, in microseconds.
 const PASS_DELAY_PER_COMPARISON_US: u64 = 2;
-/// Between two attempts at preemption.
+/// Shortest interval between two preemptions.
 const PREEMPTION_INTERVAL: Micros = Micros::from_millis(500);
 
 /// The state of scheduling between passes over the partition.
 pub(super) struct SchedulingState {
-    /// The order of waiting jobs, as the last pass over the partition left it.
+    /// Queues of waiting jobs, in the order that the last pass determined.
     queues: Queues,
-    /// Classes that wait and have little choice of machines.
+    /// Waiting classes of tasks that fit only some types of machines.
     constrained: ConstrainedDemand,
-    /// Jobs that failed again and again; some may run well again since.
+    /// Jobs that were found failing. Some of them may have succeeded since.
     failing_jobs: BTreeSet<JobId>,
-    /// Machines that freed room is held on.
+    /// Machines on which free capacity is held for a job.
     held_machines: Vec<MachineId>,
-    /// Something changed that the next pass over the partition should take in.
+    /// Whether anything has changed since the last pass that may affect its decisions.
     pass_pending: bool,
     next_pass_at: Micros,
     last_preemption_at: Micros,
-    /// Machines that were compared with a class, for counting what passes cost.
+    /// Number of comparisons of a machine with a class of tasks: the cost of scheduling.
     machines_compared: usize,
-    /// Attempts that were started under this term.
+    /// Number of attempts that were started under this term.
     attempts_started: u64,
 }
 
@@ -58,28 +60,29 @@
         &self.constrained
     }
 
-    /// Takes in the machine types, which say which work has a choice of machines.
+    /// Sets the machine types, which determine the types that each class of tasks fits.
     pub(super) fn set_machine_types(&mut self, types: &[MachineType]) {
         self.constrained = ConstrainedDemand::new(types);
     }
 
-    /// Takes in which classes wait, by team.
+    /// Sets the waiting classes of tasks that fit only some types of machines. Each class has one
+    /// entry per machine type: whether it fits that type.
     pub(super) fn set_waiting(&mut self, waiting: Vec<Vec<bool>>) {
         self.constrained.set_waiting(waiting);
     }
 
-    /// A job fails again and again.
+    /// Adds a job that was found failing.
     pub(super) fn add_failing_job(&mut self, job: &JobId) {
         self.failing_jobs.insert(job.clone());
     }
 
-    /// Forgets jobs that don't fail any more.
+    /// Removes jobs that are not failing any more, or no longer exist.
     pub(super) fn retain_failing_jobs(&mut self, jobs: &BTreeMap<JobId, Job>) {
         self.failing_jobs
             .retain(|id| jobs.get(id).is_some_and(Job::is_failing));
     }
 
-    /// What the tasks of failing jobs take, by team.
+    /// Returns the team of each failing job, with the resources that its failed tasks would hold.
     pub(super) fn failing_demand(&self, jobs: &BTreeMap<JobId, Job>) -> Vec<(usize, Resources)> {
         let known = self.failing_jobs.iter().filter_map(|id| jobs.get(id));
         let failing = known.filter(|job| job.is_failing());
@@ -88,17 +91,18 @@
             .collect()
     }
 
-    /// Something changed that the next pass should take in.
+    /// Requests a pass, because something has changed that may affect its decisions.
     pub(super) fn request_pass(&mut self) {
         self.pass_pending = true;
     }
 
-    /// The same, if it did.
+    /// Requests a pass if `is_changed`.
     pub(super) fn request_pass_if(&mut self, is_changed: bool) {
         self.pass_pending |= is_changed;
     }
 
-    /// Whether a pass is due; if so, it takes in all that has changed.
+    /// Returns whether a pass is due. If so, clears the request: the pass takes all changes so
+    /// far into account.
     pub(super) fn begin_pass(&mut self, now: Micros) -> bool {
         if !self.pass_pending || now < self.next_pass_at {
             return false;
@@ -107,14 +111,15 @@
         true
     }
 
-    /// A pass is complete that has compared so many machines.
+    /// Records that a pass is complete, with the number of machines that it compared and the
+    /// queues that it determined.
     pub(super) fn finish_pass(&mut self, now: Micros, compared: usize, queues: Queues) {
         self.queues = queues;
         let delay = Micros(compared as u64 * PASS_DELAY_PER_COMPARISON_US);
         self.next_pass_at = now + MIN_PASS_INTERVAL + delay;
     }
 
-    /// Whether room is to be made for waiting work now, by preemption.
+    /// Returns whether a preemption for waiting jobs is due. If so, records that it is made now.
     pub(super) fn begin_preemption(&mut self, now: Micros) -> bool {
         let is_due = now.since(self.last_preemption_at) >= PREEMPTION_INTERVAL;
         if !is_due || self.queues.is_empty() {
@@ -124,7 +129,7 @@
         true
     }
 
-    /// Replaces the machines that freed room is held on; the earlier ones.
+    /// Replaces the machines on which free capacity is held, and returns the earlier ones.
     pub(super) fn replace_held(&mut self, machines: Vec<MachineId>) -> Vec<MachineId> {
         std::mem::replace(&mut self.held_machines, machines)
     }
@@ -137,7 +142,7 @@
         self.machines_compared
     }
 
-    /// A new attempt under this term.
+    /// Returns the ID of a new attempt under `term`.
     pub(super) fn next_attempt(&mut self, term: Term) -> AttemptId {
         self.attempts_started += 1;
         AttemptId::of(term, self.attempts_started)
--- a/src/partition_owner/tests.rs
+++ b/src/partition_owner/tests.rs
@@ -1,3 +1,6 @@
+//! Tests of a partition's owner against a watch cache and heartbeats that the tests provide:
+//! release of silent and idle machines, splitting of oversize shards, zone counts, hand-back.
+
 use super::{Effect, OwnedPartition, Write};
 use crate::clock::Micros;
 use crate::fairness::Resources;
@@ -20,7 +23,7 @@
     Micros::from_secs(seconds)
 }
 
-/// The watch brings a key's new value.
+/// Applies a watch event that sets a key to a new value.
 fn apply_set(cache: &mut WatchCache, key: String, value: serde_json::Value, revision: u64) {
     cache.apply_event(WatchEvent {
         set: Some(key),
@@ -34,7 +37,8 @@
     MachineRecord::blank("10.1.0.1:9000".into(), "big", "x", false)
 }
 
-/// The watch brings the partition's first shard with these machines, all of them used.
+/// Applies a watch event that sets the partition's first shard to these machines, all of them
+/// used.
 fn apply_shard(cache: &mut WatchCache, machines: &[&str], revision: u64) {
     let used = |id: &&str| {
         let mut record = unused_machine();
@@ -42,11 +46,11 @@
         (MachineId::from(*id), record)
     };
     let record = ShardRecord(machines.iter().map(used).collect());
-    let value = serde_json::to_value(record).expect("a record");
+    let value = serde_json::to_value(record).expect("a shard record serializes");
     apply_set(cache, keys::shard(PartitionId(0), 0), value, revision);
 }
 
-/// An owner of partition 0 under term 3, and the cache that it reads.
+/// The owner of partition 0 under term 3, and the cache that it reads.
 struct Fixture {
     owner: OwnedPartition,
     cache: WatchCache,
@@ -54,7 +58,7 @@
 }
 
 impl Fixture {
-    /// With one machine, m-1, that has nothing to do.
+    /// Creates an owner with one idle machine, m-1.
     fn with_one_machine() -> Fixture {
         let settings = Rc::new(settings());
         let grant = PartitionOwnerRecord {
@@ -77,7 +81,7 @@
         }
     }
 
-    /// With two machines, m-1 and m-2.
+    /// Creates an owner with two idle machines, m-1 and m-2.
     fn with_two_machines() -> Fixture {
         let mut fixture = Fixture::with_one_machine();
         apply_shard(&mut fixture.cache, &["m-1", "m-2"], 6);
@@ -85,14 +89,15 @@
         fixture
     }
 
-    /// With two machines, and zone failover on with their zone in this state.
+    /// Creates an owner with two machines, with zone failover enabled and the machines' zone in
+    /// this state. m-2 has sent one heartbeat.
     fn with_zone_in_state(state: &str) -> Fixture {
         let mut fixture = Fixture::with_two_machines();
         let subsystems =
-            Subsystems::parse("[zone-failover]\nenabled = true", &settings()).expect("a file");
-        let config = subsystems.zone_failover.expect("on");
+            Subsystems::parse("[zone-failover]\nenabled = true", &settings()).expect("valid");
+        let config = subsystems.zone_failover.expect("zone failover is enabled");
         let zone = serde_json::json!({"state": state, "epoch": 1, "since": 0, "relapses": 1});
-        let zone = serde_json::from_value(zone).expect("a zone's record");
+        let zone = serde_json::from_value(zone).expect("a valid zone record");
         let situation = Rc::new(ZoneSituation {
             troubled: BTreeMap::from([("x".into(), zone)]),
             returned: BTreeMap::new(),
@@ -106,13 +111,13 @@
         fixture
     }
 
-    /// The owner takes in the first shard as the cache has it.
+    /// Reconciles the owner with the first shard in the cache.
     fn reconcile_shard(&mut self, now: Micros) {
         let cache = &self.cache;
         self.owner.reconcile_shard(now, 0, cache, &types(), false);
     }
 
-    /// A heartbeat of m-1, and a tick of the owner.
+    /// Delivers a heartbeat of m-1, and then a tick of the owner.
     fn heartbeat(&mut self, now: Micros) {
         self.heartbeat_sequence += 1;
         let token = FencingToken::of(Term(3), 0);
@@ -123,7 +128,7 @@
         self.owner.tick(now, now, fleet);
     }
 
-    /// The same, followed by a heartbeat of m-2.
+    /// Delivers a heartbeat of m-1, a tick of the owner, and then a heartbeat of m-2.
     fn heartbeats_of_both(&mut self, now: Micros) {
         self.heartbeat(now);
         let token = FencingToken::of(Term(3), 0);
@@ -142,15 +147,16 @@
     }
 }
 
-/// Seen as 495 healthy machines released within ten seconds by an owner that had more
-/// heartbeats to read than its processor share allows.
+/// Guards against a mass release of healthy machines by an owner with too little processor time.
+/// Its ticks were late and it had more heartbeats to read than its processor share allows, so that
+/// it took machines for silent and released 495 healthy ones within ten seconds.
 #[test]
 fn an_owner_with_late_ticks_releases_no_silent_machine() {
     let mut fixture = Fixture::with_two_machines();
     for seconds in [2.0, 4.0] {
         fixture.heartbeats_of_both(secs(seconds));
     }
-    // From then on only m-1 is in contact.
+    // From here on, m-2 sends no heartbeats.
     let releasable_after_silence = |fixture: &mut Fixture, from: f64, tick_interval: f64| {
         let mut now = from;
         while now < from + 20.0 {
@@ -165,17 +171,20 @@
 
     assert!(
         with_late_ticks.is_empty(),
-        "each tick is late: heartbeats may be waiting to be read"
+        "released with late ticks, although heartbeats may be unread"
     );
     assert_eq!(
         with_timely_ticks,
         vec![MachineId::from("m-2")],
-        "all is read in time, and it is silent"
+        "m-2 is silent while all ticks are on time"
     );
 }
 
-/// Seen as `ran_twice`: a machine was released while a task of ours ran on it, so that
-/// the task was started elsewhere.
+/// Guards against the release of a machine that is in use, by which a task ran twice: its machine
+/// was released while it ran there, so it was started on another machine as well.
+///
+/// Two release writes get no reply. The shard changes while the second is in flight, so both have
+/// failed, and the machine is used again before the second is reported as indeterminate.
 #[test]
 fn a_release_reply_after_the_shard_has_changed_releases_no_machine() {
     let mut fixture = Fixture::with_one_machine();
@@ -184,23 +193,24 @@
     }
     let first = fixture
         .release_idle_machines(secs(100.0))
-        .expect("idle, so it is released");
+        .expect("an idle machine is released");
     let owner = &mut fixture.owner;
     owner.handle_store_reply(secs(102.5), first, &Reply::Indeterminate);
     fixture.heartbeat(secs(102.5));
     let second = fixture
         .release_idle_machines(secs(103.0))
-        .expect("once more");
+        .expect("the release is repeated");
 
-    // While that is in flight, somebody else changes the shard: both have failed.
+    // Another writer changes the shard while the second release is in flight: both releases
+    // have failed.
     apply_shard(&mut fixture.cache, &["m-1", "m-2"], 6);
     fixture.reconcile_shard(secs(103.5));
-    let job = serde_json::to_value(rec("j-1", 1, Term(3))).expect("a record");
+    let job = serde_json::to_value(rec("j-1", 1, Term(3))).expect("a job record serializes");
     apply_set(&mut fixture.cache, keys::job(&"j-1".into()), job, 7);
     fixture.owner.reconcile_job(&"j-1".into(), &fixture.cache);
     fixture.heartbeat(secs(104.0));
     let attempts = fixture.owner.machines[&"m-1".into()].attempts.len();
-    assert_eq!(attempts, 1, "in use again");
+    assert_eq!(attempts, 1, "the machine is in use again");
     let owner = &mut fixture.owner;
     owner.handle_store_reply(secs(105.5), second, &Reply::Indeterminate);
 
@@ -211,8 +221,8 @@
     );
 }
 
-/// While an earlier version leads, nobody else splits what that one has filled up to the
-/// higher limit.
+/// Guards against an oversize shard that can't be written. A leader of an earlier version fills
+/// shards up to a higher value limit and does not split them, so the owner must do so.
 #[test]
 fn an_oversize_shard_is_split_by_its_owner_when_a_machine_in_it_changes() {
     let mut fixture = Fixture::with_one_machine();
@@ -224,7 +234,7 @@
     });
     let machine = |number: usize| (MachineId::from(format!("m-{number}")), unused_machine());
     let all = ShardRecord((1..=60).map(machine).collect());
-    let value = serde_json::to_value(&all).expect("a record");
+    let value = serde_json::to_value(&all).expect("a shard record serializes");
     let key = keys::shard(PartitionId(0), 0);
     apply_set(&mut fixture.cache, key.clone(), value, 7);
     let taken = keys::shard(PartitionId(0), 1);
@@ -238,22 +248,23 @@
     owner
         .machines
         .get_mut(&"m-1".into())
-        .expect("a machine")
+        .expect("m-1 is known")
         .used = false;
     owner.machine_writes.request_use_write();
 
     let effect = owner.record_used_machines(secs(5.0), &fixture.cache);
 
     let Some(Effect::CompareAndSwap(Write::UseMachines(ids), compares, mutations)) = effect else {
-        panic!("{effect:?}");
+        panic!("expected a write of used machines, got {effect:?}");
     };
     assert_eq!(ids, vec![MachineId::from("m-1")]);
     assert!(
         mutations.len() > 1 && mutations.len() <= 5,
-        "{} changes",
+        "expected 2 to 5 mutations, got {}",
         mutations.len()
     );
-    // Conditional on the owner, on the shard as it was, and on numbers that are free.
+    // The write is conditional on the grant, on the shard's old revision, and on free numbers
+    // for the new shards.
     assert_eq!(compares[1], Compare::new(key, Revision(7)));
     assert!(
         compares[2..]
@@ -263,16 +274,18 @@
     let mut joined = BTreeMap::new();
     for mutation in mutations {
         let Mutation::Set { value, .. } = mutation else {
-            panic!("only sets")
+            panic!("expected only sets")
         };
         assert!(value.to_string().len() <= 2048);
-        let part: ShardRecord = serde_json::from_value(value).expect("a shard");
+        let part: ShardRecord = serde_json::from_value(value).expect("a valid shard record");
         joined.extend(part.0);
     }
-    assert_eq!(joined.len(), 60, "each once");
+    assert_eq!(joined.len(), 60, "each machine is in one of the shards");
     assert!(joined[&MachineId::from("m-1")].used);
 }
 
+/// Guards against an isolated owner that reports its own machines as silent, as if their zone
+/// were down. From 12 s on, the owner gets no heartbeats at all.
 #[test]
 fn an_isolated_owner_counts_no_silent_machines_of_zones() {
     let mut fixture = Fixture::with_zone_in_state("suspect");
@@ -290,6 +303,7 @@
     assert!(fixture.owner.zone_counts(secs(17.0)).is_empty());
 }
 
+/// Guards against silent machines that are retained forever because their zone stays suspect.
 #[test]
 fn silent_machines_of_a_zone_that_stays_suspect_are_released_after_a_time() {
     let mut fixture = Fixture::with_zone_in_state("suspect");
@@ -301,10 +315,12 @@
             released_at = released_at.or(Some(now));
         }
     }
-    // Silent and suspect since one second, and kept for fifteen.
+    // The zone is suspect and m-2 silent from 1 s on, and m-2 is retained for 15 s.
     assert_eq!(released_at, Some(secs(16.0)));
 }
 
+/// Guards against a partition that stays without an acting owner after the store has rejected the
+/// only hand-back request.
 #[test]
 fn a_hand_back_that_is_rejected_at_once_leaves_the_partition_to_its_owner() {
     let mut owner = Fixture::with_one_machine().owner;
@@ -316,23 +332,39 @@
     assert!(!owner.is_being_handed_back());
 }
 
+/// Guards against an owner that acts for a partition again while an unanswered hand-back request
+/// may still be carried out.
 #[test]
 fn a_hand_back_without_an_answer_is_requested_until_it_is_settled() {
     let mut owner = Fixture::with_one_machine().owner;
     let first = owner.hand_back(secs(10.0));
     assert!(first.is_some());
-    assert_eq!(owner.hand_back(secs(15.9)), None, "it may be answered yet");
-    assert_eq!(owner.hand_back(secs(16.0)), first, "no answer came");
+    assert_eq!(
+        owner.hand_back(secs(15.9)),
+        None,
+        "the first request has not timed out"
+    );
+    assert_eq!(
+        owner.hand_back(secs(16.0)),
+        first,
+        "the first request has timed out"
+    );
 
     owner.handle_hand_back_reply(&Reply::Rejected);
-    assert!(owner.is_being_handed_back(), "the first may still succeed");
+    assert!(
+        owner.is_being_handed_back(),
+        "the first request may still be carried out"
+    );
     assert_eq!(
         owner.hand_back(secs(16.1)),
         first,
-        "so it is requested again"
+        "the hand-back is requested again"
     );
 
     owner.handle_hand_back_reply(&Reply::Committed(Revision(9)));
-    assert!(owner.is_being_handed_back(), "until the watch takes it out");
+    assert!(
+        owner.is_being_handed_back(),
+        "the watch has not reported the change yet"
+    );
     assert_eq!(owner.hand_back(secs(16.2)), None);
 }
--- a/src/partition_owner/transaction.rs
+++ b/src/partition_owner/transaction.rs
@@ -1,9 +1,10 @@
-//! A transaction of the owner while it is being filled, within the store's limits.
+//! Builder for the owner's compare-and-swap transactions. It keeps track of the store's limits
+//! on the number of mutations and on the size of a transaction.
 
 use super::{Effect, Write};
 use crate::store::{Compare, MAX_TRANSACTION_BYTES, Mutation};
 
-/// One compare-and-swap that is conditional on the partition's grant.
+/// A compare-and-swap that is conditional on the partition's grant.
 pub(super) struct Transaction {
     compares: Vec<Compare>,
     mutations: Vec<Mutation>,
@@ -21,22 +22,22 @@
         }
     }
 
-    /// How many mutations an empty transaction takes.
+    /// Returns the largest number of mutations in a transaction.
     pub(super) fn max_mutations(&self) -> usize {
         self.max_mutations
     }
 
-    /// How many more mutations it takes.
+    /// Returns how many more mutations can be appended.
     pub(super) fn remaining_mutations(&self) -> usize {
         self.max_mutations.saturating_sub(self.mutations.len())
     }
 
-    /// Whether its values are too large for anything to be added.
+    /// Returns whether the values exceed the size limit. Nothing more may be appended then.
     pub(super) fn exceeds_bytes(&self) -> bool {
         self.bytes > MAX_TRANSACTION_BYTES
     }
 
-    /// Adds changes whose values take so many bytes.
+    /// Adds compares and mutations. `bytes` is the size of the mutations' values.
     pub(super) fn append(
         &mut self,
         compares: Vec<Compare>,
@@ -48,7 +49,7 @@
         self.bytes += bytes;
     }
 
-    /// The effect of it.
+    /// Returns the effect that sends this transaction to the store.
     pub(super) fn into_effect(self, write: Write) -> Effect {
         Effect::CompareAndSwap(write, self.compares, self.mutations)
     }
--- a/src/partition_owner/unknown_jobs.rs
+++ b/src/partition_owner/unknown_jobs.rs
@@ -1,5 +1,6 @@
-//! Jobs that machines show and that are not known here: most likely they have ended, or were
-//! cancelled. What their tasks take is read from their records.
+//! Jobs that heartbeats report but that are not among the partition's jobs, usually because they
+//! have ended or were cancelled. The resources that their tasks request are read from the ended
+//! jobs' records in the store.
 
 use super::{Effect, OwnedPartition};
 use crate::clock::Micros;
@@ -10,32 +11,34 @@
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
 
-/// Records of ended jobs that are read at once.
+/// Reads of ended jobs' records that are started at a time.
 const MAX_ENDED_JOB_READS: usize = 4;
-/// A read without an answer is sent again after this.
+/// Time between a failed or unanswered read and its retry.
 const READ_RETRY_INTERVAL: Micros = Micros::from_millis(500);
 
-/// How much is known of a job that is not the partition's.
+/// State of the look-up of an unknown job's record.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum UnknownJob {
-    /// Its record is to be read, from then on.
+    /// The record is to be read at this time or later.
     ReadDue { at: Micros },
     /// The read is in flight.
     Reading,
-    /// Its record was read; none: it does not say.
-    Known(Option<TaskDemand>),
+    /// The read is complete. `None` if there is no record, or the record does not contain the
+    /// tasks' demand.
+    Resolved(Option<TaskDemand>),
 }
 
-/// Jobs that machines show and that are not known here.
+/// Jobs that heartbeats report but that are not among the partition's jobs.
 #[derive(Default)]
 pub(super) struct UnknownJobs(BTreeMap<JobId, UnknownJob>);
 
 impl UnknownJobs {
-    /// What an attempt of a job takes, if that is known; otherwise its record is read.
+    /// Returns the demand of a job's tasks if it is known. Otherwise returns `None`, and
+    /// schedules a read of the job's record if none was scheduled before.
     pub(super) fn demand(&mut self, now: Micros, job: &JobId) -> Option<TaskDemand> {
         match self.0.entry(job.clone()) {
             Entry::Occupied(known) => match known.get() {
-                UnknownJob::Known(demand) => *demand,
+                UnknownJob::Resolved(demand) => *demand,
                 UnknownJob::ReadDue { .. } | UnknownJob::Reading => None,
             },
             Entry::Vacant(new) => {
@@ -45,7 +48,8 @@
         }
     }
 
-    /// The jobs whose records are to be read now, a bounded number at a time.
+    /// Returns the jobs whose records are to be read now, a bounded number at a time, and marks
+    /// them as being read.
     fn take_due_reads(&mut self, now: Micros) -> Vec<JobId> {
         let due = self.0.iter_mut().filter_map(|(id, job)| match job {
             UnknownJob::ReadDue { at } if now >= *at => {
@@ -63,18 +67,18 @@
     }
 
     fn resolve(&mut self, job: &JobId, demand: Option<TaskDemand>) {
-        self.0.insert(job.clone(), UnknownJob::Known(demand));
+        self.0.insert(job.clone(), UnknownJob::Resolved(demand));
     }
 }
 
 impl OwnedPartition {
-    /// Reads of the records of jobs that machines show and that are not known here.
+    /// Returns the reads of unknown jobs' records that are due, and marks them as being read.
     pub fn take_ended_job_reads(&mut self, now: Micros) -> Vec<Effect> {
         let due = self.unknown_jobs.take_due_reads(now);
         due.into_iter().map(Effect::ReadEnded).collect()
     }
 
-    /// Takes in the store's answer to the read of an ended job's record.
+    /// Handles the store's reply to the read of an ended job's record.
     pub fn handle_ended_job_reply(&mut self, now: Micros, id: &JobId, reply: &Reply) {
         let demand = match reply {
             Reply::Value(row) => EndedRecord::read(row)
--- a/src/partition_owner/zone_counts.rs
+++ b/src/partition_owner/zone_counts.rs
@@ -1,4 +1,7 @@
-//! What this owner sees of the zones: how many machines of each are up, and how many silent.
+//! This owner's observations of the zones: how many of its machines in each zone have been up,
+//! and how many of these are silent.
+//!
+//! An owner that may itself be isolated or late reports no observations.
 
 use super::OwnedPartition;
 use super::machine_health::MIN_SILENCE;
@@ -10,14 +13,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use zone_failover::health::{Condition, ZoneObservation, ZoneState};
 
-/// What an owner sees of a zone.
+/// An owner's counts for one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct MachineCounts {
-    /// Machines that have been up.
+    /// Machines that have been up and are not being released.
     pub machines: u32,
-    /// Those of them that are silent.
+    /// Machines among `machines` that are silent.
     pub silent: u32,
-    /// Silent machines and displaced tasks that wait for a further wave of evacuation.
+    /// Silent machines and displaced tasks that wait for a later wave of evacuation.
     pub waiting: u32,
 }
 
@@ -33,14 +36,15 @@
 }
 
 impl OwnedPartition {
-    /// Whether a machine's zone is lost: what boots there may not come up.
+    /// Returns whether a machine's zone is lost. Machines that are booting there may never come
+    /// up.
     pub(super) fn is_in_lost_zone(&self, machine: &Machine) -> bool {
         let evacuation = self.zone_evacuation.as_ref();
         let state = |evacuation: &ZoneEvacuation| evacuation.situation.state(&machine.spec.zone);
         evacuation.map(state) == Some(ZoneState::Lost)
     }
 
-    /// Waiting tasks that may run nowhere but in a lost zone.
+    /// Returns the number of waiting tasks that may run only in a lost zone.
     pub(super) fn tasks_bound_to_lost_zones(&self) -> u32 {
         let Some(evacuation) = &self.zone_evacuation else {
             return 0;
@@ -52,7 +56,9 @@
         bound.map(|job| job.waiting().len()).sum()
     }
 
-    /// Whether silence says something about machines: not if it may be our own.
+    /// Returns whether silence of machines is evidence about their zones. It is not while this
+    /// controller's ticks were late recently, or while no machine sends heartbeats: then this
+    /// controller may be at fault.
     fn may_judge_zones(&self, now: Micros) -> bool {
         let on_time_since = self.liveness.on_time_since().max(self.granted_at());
         let is_on_time = now.since(on_time_since) > self.max_contact_gap();
@@ -60,7 +66,8 @@
         is_on_time && (is_in_contact || self.machines.is_empty())
     }
 
-    /// What is seen of the zones; nothing if it may be this controller that is isolated.
+    /// Returns the counts of each zone. Empty if zone failover is disabled, or if this
+    /// controller may be isolated.
     pub fn zone_counts(&self, now: Micros) -> BTreeMap<ZoneId, MachineCounts> {
         let mut counts: BTreeMap<ZoneId, MachineCounts> = BTreeMap::new();
         if !self.may_judge_zones(now) {
@@ -89,7 +96,8 @@
         counts
     }
 
-    /// The zones that are down as far as this owner sees; none if all of them are.
+    /// Returns the zones that are down by this owner's counts. Empty if all counted zones are
+    /// down, since then this controller may be at fault.
     pub(super) fn down_zones(&self, now: Micros) -> BTreeSet<ZoneId> {
         let Some(evacuation) = &self.zone_evacuation else {
             return BTreeSet::new();
--- a/src/partition_owner/zone_evacuation.rs
+++ b/src/partition_owner/zone_evacuation.rs
@@ -1,4 +1,5 @@
-//! Evacuation of lost zones: displaced jobs, and silent machines that are released in waves.
+//! Evacuation of lost zones: tracks the jobs that lost attempts there, and releases silent
+//! machines in the waves that the leader commits.
 
 use super::OwnedPartition;
 use crate::clock::Micros;
@@ -11,7 +12,7 @@
 use zone_failover::health::ZoneState;
 
 impl OwnedPartition {
-    /// Turns zone failover on, and takes in the state of the zones.
+    /// Updates the state of the zones. The first call enables zone failover.
     pub fn update_zones(
         &mut self,
         now: Micros,
@@ -22,20 +23,21 @@
             .zone_evacuation
             .get_or_insert_with(|| ZoneEvacuation::new(config.clone()));
         if !Rc::ptr_eq(&evacuation.situation, situation) {
-            // Zones open and close for work that waits.
+            // Zones may have opened or closed for waiting tasks.
             self.scheduling.request_pass();
         }
         evacuation.sync(now, situation);
     }
 
-    /// An attempt of a job was lost with a machine.
+    /// Records that a job lost an attempt with a machine in `zone`.
     pub(super) fn displace(&mut self, job: &JobId, zone: &str) {
         if let Some(evacuation) = &mut self.zone_evacuation {
             evacuation.displace(job, zone);
         }
     }
 
-    /// What time and the leader's waves change.
+    /// Updates the evacuation of lost zones and starts failback: both depend on the time and on
+    /// the waves that the leader has committed.
     pub(super) fn check_zones(&mut self, now: Micros, wall_clock: Micros) {
         if self.zone_evacuation.is_none() {
             return;
@@ -51,8 +53,8 @@
         self.fail_back(now, wall_clock);
     }
 
-    /// Machines that are unconfirmed since a failover are silent with their zone: any job that
-    /// an earlier owner may have started there may have lost an attempt.
+    /// Records jobs that may have lost an attempt on an unconfirmed machine of a zone that is not
+    /// healthy: all jobs that an earlier owner may have started on such a machine.
     fn displace_unconfirmed(&mut self) {
         let Some(evacuation) = &mut self.zone_evacuation else {
             return;
@@ -75,7 +77,8 @@
         }
     }
 
-    /// The silent machines of lost zones, with the priority of what may run on them.
+    /// Returns the silent machines of each lost zone. Each has the highest evacuation priority
+    /// of the jobs that may run on it.
     fn silent_in_lost_zones(
         &self,
         now: Micros,
@@ -117,7 +120,7 @@
     }
 }
 
-/// The priority that is evacuated first.
+/// Returns the priority that is evacuated first, or `None` if there are no priorities.
 fn highest(priorities: impl Iterator<Item = EvacuationPriority>) -> Option<EvacuationPriority> {
     priorities.min_by(EvacuationPriority::order)
 }
