--- a/src/fairness/tests.rs
+++ b/src/fairness/tests.rs
@@ -13,7 +13,7 @@
     updated.add(&load, capacity);
     for (team, cores) in [(0, 2.0), (1, 6.0), (0, 4.0)] {
         updated.remove(&load, capacity);
-        load.take(team, Resources::new(cores, 0.0, 4.0 * cores));
+        load.add_request(team, Resources::new(cores, 0.0, 4.0 * cores));
         updated.add(&load, capacity);
     }
     let mut recomputed = UsageByTeam::new(&[0, 1]);
--- a/src/fairness/usage.rs
+++ b/src/fairness/usage.rs
@@ -19,8 +19,8 @@
 }
 
 impl Load {
-    /// Adds the request of one attempt.
-    pub fn take(&mut self, team: usize, request: Resources) {
+    /// Adds the request of one attempt. A negative request subtracts it again.
+    pub fn add_request(&mut self, team: usize, request: Resources) {
         self.summed += request;
         match self.teams.iter_mut().find(|(other, _)| *other == team) {
             Some((_, sum)) => *sum += request,
--- a/src/placement/pass.rs
+++ b/src/placement/pass.rs
@@ -282,7 +282,7 @@
         }
         let capacity = candidate.machine.spec.capacity;
         self.usage.remove(&candidate.load, capacity);
-        candidate.load.to_mut().take(team, request);
+        candidate.load.to_mut().add_request(team, request);
         self.usage.add(&candidate.load, capacity);
         candidate.free -= request;
         candidate.images.push(job.desc.image_key());
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -307,7 +307,7 @@
             if let Some(attempt) = machine.attempts.get(&victim.key) {
                 *room += attempt.request();
                 if let Some(demand) = attempt.demand {
-                    load.take(demand.team, demand.request.scale(-1.0));
+                    load.add_request(demand.team, demand.request.scale(-1.0));
                 }
             }
             self.chosen.insert(victim.key.clone());
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -225,7 +225,7 @@
             .filter(|attempt| !attempt.has_exited());
         for attempt in open {
             match attempt.demand {
-                Some(demand) => load.take(demand.team, demand.request),
+                Some(demand) => load.add_request(demand.team, demand.request),
                 // Guards against a team above its quota limit: a cancelled job's record is
                 // deleted, but its tasks are on their machine until they have ended.
                 None => load.unknown = true,
