--- a/src/partition_owner/machine_health.rs
+++ b/src/partition_owner/machine_health.rs
@@ -180,8 +180,9 @@
             && (has_nothing || now.since(machine.lease_started_at()) > lease)
     }
 
-    /// Returns whether a silent machine is not released for now because its zone is suspect or
-    /// lost: such machines are released in waves. A machine that fails by itself is not retained.
+    /// Returns whether a silent machine is not released for now because its zone is suspect,
+    /// lost, or down by this owner's counts. Machines of lost zones are released in waves. A
+    /// machine that fails while its zone is healthy is not retained.
     fn is_retained_with_zone(&self, now: Micros, id: &MachineId, machine: &Machine) -> bool {
         let evacuation = self.zone_evacuation.as_ref();
         evacuation.is_some_and(|evacuation| evacuation.retains(now, id, &machine.spec.zone))
--- a/src/partition_owner/scheduling.rs
+++ b/src/partition_owner/scheduling.rs
@@ -83,8 +83,8 @@
         compared
     }
 
-    /// Holds free capacity for the job that the pass found to be first in line without room, and
-    /// releases the capacity that was held before.
+    /// Holds free capacity for the first queued job that found no room in the pass, and releases
+    /// the capacity that was held after the pass before.
     fn hold(&mut self, pass: &PlacementPass) {
         let held = match &pass.held {
             Some((_, machines)) => machines.clone(),
--- a/src/partition_owner/tests.rs
+++ b/src/partition_owner/tests.rs
@@ -93,8 +93,8 @@
     /// this state. m-2 has sent one heartbeat.
     fn with_zone_in_state(state: &str) -> Fixture {
         let mut fixture = Fixture::with_two_machines();
-        let subsystems =
-            Subsystems::parse("[zone-failover]\nenabled = true", &settings()).expect("valid");
+        let subsystems = Subsystems::parse("[zone-failover]\nenabled = true", &settings())
+            .expect("valid subsystem settings");
         let config = subsystems.zone_failover.expect("zone failover is enabled");
         let zone = serde_json::json!({"state": state, "epoch": 1, "since": 0, "relapses": 1});
         let zone = serde_json::from_value(zone).expect("a valid zone record");
--- a/src/partition_owner/zone_counts.rs
+++ b/src/partition_owner/zone_counts.rs
@@ -56,9 +56,9 @@
         bound.map(|job| job.waiting().len()).sum()
     }
 
-    /// Returns whether silence of machines is evidence about their zones. It is not while this
-    /// controller's ticks were late recently, or while no machine sends heartbeats: then this
-    /// controller may be at fault.
+    /// Returns whether silence of machines is evidence about their zones. Silence is no evidence
+    /// shortly after the grant or after a late tick of this controller, nor while no machine
+    /// sends heartbeats: the fault may then be on this controller's side.
     fn may_judge_zones(&self, now: Micros) -> bool {
         let on_time_since = self.liveness.on_time_since().max(self.granted_at());
         let is_on_time = now.since(on_time_since) > self.max_contact_gap();
