--- a/src/workers/agent.rs
+++ b/src/workers/agent.rs
@@ -1,18 +1,18 @@
-//! The epochs of a machine's worker agent, and how far its heartbeats have been taken in.
+//! The state of a machine's worker agent: its current epoch and its newest accepted heartbeat.
 
 use super::Heartbeat;
 
-/// A heartbeat's place in the order in which a worker made its heartbeats.
+/// A heartbeat's position in the order in which a worker creates its heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub(super) struct HeartbeatPosition {
-    /// The agent epoch; 0: no heartbeat has counted yet.
+    /// The agent epoch; 0 if no heartbeat has been accepted yet.
     agent_epoch: u64,
-    /// The heartbeat's number.
+    /// The heartbeat's number in its agent epoch.
     sequence: u64,
 }
 
 impl HeartbeatPosition {
-    /// Whether any heartbeat has counted.
+    /// Whether a heartbeat has been accepted.
     pub(super) fn is_known(self) -> bool {
         self.agent_epoch > 0
     }
@@ -27,57 +27,61 @@
     }
 }
 
-/// What a heartbeat says of the worker's agent epoch.
+/// How a heartbeat changes the known agent epoch of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum EpochChange {
-    /// The epoch is the one known.
+    /// The heartbeat is of the known epoch.
     Unchanged,
-    /// The epoch is the first one known.
+    /// The heartbeat is of the first epoch that becomes known.
     First,
-    /// The known epoch has ended: the worker's lease expired, and it stopped its tasks.
+    /// The heartbeat is of a later epoch. The known epoch has ended: the worker's lease expired,
+    /// and the worker stopped all of its tasks.
     Advanced,
 }
 
-/// What is known of a machine's worker agent.
+/// The owner's knowledge of a machine's worker agent.
 #[derive(Debug, Default)]
 pub(super) struct AgentState {
-    /// The newest heartbeat that counts.
+    /// Position of the newest accepted heartbeat.
     position: HeartbeatPosition,
-    /// The epoch of the last heartbeat that did not count, for direct commands until one does.
-    last_seen_agent_epoch: u64,
-    /// Whether any heartbeat has arrived. One that does not show the owner's token may be a
-    /// late copy, but the machine is up.
+    /// Agent epoch of the last stale heartbeat. Direct commands are addressed to it as long as
+    /// no heartbeat has been accepted.
+    last_stale_agent_epoch: u64,
+    /// Whether any heartbeat has arrived, accepted or stale. Even a stale one shows that the
+    /// machine has booted.
     has_sent_heartbeat: bool,
-    /// Whether an earlier owner held the machine: nothing is known of it until a heartbeat
-    /// shows this owner's token.
+    /// Whether an earlier owner may have used the machine. If so, the attempts on it are unknown
+    /// until a heartbeat shows this owner's term.
     is_unconfirmed: bool,
-    /// Whether a direct command is to find out the worker's state: a heartbeat came that
-    /// looks older than what is known, either a late copy or of a restarted worker.
+    /// Whether a direct command is needed to find out the worker's state. This is the case after
+    /// a heartbeat that seems older than the newest accepted one: it is either a late copy or
+    /// was sent by a restarted worker.
     needs_probe: bool,
 }
 
 impl AgentState {
-    /// The newest heartbeat that counts.
+    /// Returns the position of the newest accepted heartbeat.
     pub(super) fn position(&self) -> HeartbeatPosition {
         self.position
     }
 
-    /// The epoch that a direct command is meant for; the worker refuses a wrong one with a
-    /// fresh heartbeat.
+    /// Returns the agent epoch to which direct commands are addressed. A worker that is in
+    /// another epoch rejects the command and replies with a new heartbeat.
     pub(super) fn target_epoch(&self) -> u64 {
-        // Most machines are still in their first.
+        // Epochs are counted from 1, and most machines are still in their first one.
         self.position
             .agent_epoch
-            .max(self.last_seen_agent_epoch)
+            .max(self.last_stale_agent_epoch)
             .max(1)
     }
 
-    /// Whether any heartbeat has arrived.
+    /// Whether any heartbeat has arrived, accepted or stale.
     pub(super) fn has_sent_heartbeat(&self) -> bool {
         self.has_sent_heartbeat
     }
 
-    /// Whether nothing is known of the machine since an earlier owner held it.
+    /// Whether an earlier owner may have used the machine and no heartbeat has shown this
+    /// owner's term since.
     pub(super) fn is_unconfirmed(&self) -> bool {
         self.is_unconfirmed
     }
@@ -87,17 +91,17 @@
         self.is_unconfirmed = is_unconfirmed;
     }
 
-    /// Whether a direct command is to find out the worker's state.
+    /// Whether a direct command is needed to find out the worker's state.
     pub(super) fn needs_probe(&self) -> bool {
         self.needs_probe
     }
 
-    /// Records whether a direct command is to find out the worker's state.
+    /// Records whether a direct command is needed to find out the worker's state.
     pub(super) fn set_needs_probe(&mut self, needs_probe: bool) {
         self.needs_probe = needs_probe;
     }
 
-    /// Takes in a heartbeat that counts.
+    /// Records an accepted heartbeat and returns how it changes the known agent epoch.
     pub(super) fn advance(&mut self, heartbeat: &Heartbeat) -> EpochChange {
         let known = self.position.agent_epoch;
         self.position = HeartbeatPosition::from(heartbeat);
@@ -112,13 +116,14 @@
         }
     }
 
-    /// Records a heartbeat that does not count.
+    /// Records a stale heartbeat.
     pub(super) fn record_stale(&mut self, heartbeat: &Heartbeat) {
         self.has_sent_heartbeat = true;
-        self.last_seen_agent_epoch = heartbeat.agent_epoch;
+        self.last_stale_agent_epoch = heartbeat.agent_epoch;
     }
 
-    /// Records that the worker restarted, so that its heartbeats count from here.
+    /// Records that the worker restarted. Heartbeats newer than this one are accepted from now
+    /// on, even if their position is lower than that of heartbeats from before the restart.
     pub(super) fn record_restart(&mut self, heartbeat: &Heartbeat) {
         self.position = HeartbeatPosition::from(heartbeat);
         self.needs_probe = false;
--- a/src/workers/attempt.rs
+++ b/src/workers/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a task on a machine.
+//! An attempt to run a task on a machine, as the machine's owner tracks it.
 
 use super::{AttemptPhase, ExitCause};
 use crate::clock::Micros;
@@ -12,56 +12,58 @@
 pub struct AttemptKey {
     /// The task.
     pub task: TaskId,
-    /// Which attempt of it.
+    /// The attempt of the task.
     pub attempt: AttemptId,
 }
 
-/// What a task requests, and of which team.
+/// The resources that a task requests, and the team that they count against.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TaskDemand {
-    /// The team whose quota limit it counts against.
+    /// Index in the settings of the team whose quota limit the task counts against.
     pub team: usize,
-    /// What it requests.
+    /// The resources that the task requests.
     pub request: Resources,
 }
 
 /// The request to stop an attempt.
 #[derive(Debug, Clone, Copy)]
 struct StopRequest {
-    /// How long the attempt may take for its checkpoint, in seconds.
+    /// Time that the attempt may take to save its checkpoint, in seconds.
     grace_period_s: f64,
-    /// Whether a command to stop it was sent.
+    /// Whether a command to stop the attempt was sent.
     is_sent: bool,
 }
 
-/// An attempt on a machine, until it has surely ended.
+/// An attempt on a machine. It is kept until it is guaranteed to have ended.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// How far it has got.
+    /// The attempt's phase.
     pub phase: AttemptPhase,
-    /// Why it ended.
+    /// The reason why the attempt ended; `None` while it has not ended or if no reason is known.
     pub cause: Option<ExitCause>,
-    /// What it requests. None: it is of an unknown job, so that it may be any team's and
-    /// take all of its machine.
+    /// The resources that the attempt requests, and its team. `None` if its job is unknown: it
+    /// may then belong to any team and use the whole machine.
     pub demand: Option<TaskDemand>,
-    /// None: of an unknown job.
+    /// The description of the attempt's job; `None` if the job is unknown.
     pub desc: Option<Rc<JobDesc>>,
-    /// When a heartbeat first showed it running.
+    /// Instant at which a heartbeat first showed the attempt running; `None` if none has.
     pub running_since: Option<Micros>,
-    /// Whether its launch was sent, by a direct command or in a response.
+    /// Whether the launch was sent, in a direct command or in a response.
     pub is_launch_sent: bool,
-    /// Responses that carried a command for it since it last changed.
+    /// Number of responses that contained a command for the attempt since its phase last changed.
     pub(super) unacknowledged_sends: u32,
-    /// Set once it is to be stopped.
+    /// The request to stop the attempt; `None` if there is none.
     stop: Option<StopRequest>,
-    /// Abandoned before any heartbeat showed it: lost once one has this token without it.
-    abandoned: Option<FencingToken>,
-    /// Whether its end is recorded, so that the worker may forget it.
+    /// The token that was raised when the launch was abandoned; `None` if it was not. The attempt
+    /// counts as lost once a heartbeat shows this token or a higher one without the attempt.
+    abandonment_token: Option<FencingToken>,
+    /// Whether the end of the attempt needs no further record, so that the worker may forget it.
     pub may_be_reaped: bool,
 }
 
 impl Attempt {
-    /// An attempt that is in a phase now, of a job with its team if that is known.
+    /// Creates an attempt that is in `phase` now. `job` is its team and description; `None` if
+    /// the job is unknown.
     pub fn new(phase: AttemptPhase, now: Micros, job: Option<(usize, &Rc<JobDesc>)>) -> Attempt {
         Attempt {
             phase,
@@ -75,39 +77,39 @@
             is_launch_sent: phase != AttemptPhase::Launching,
             unacknowledged_sends: 0,
             stop: None,
-            abandoned: None,
+            abandonment_token: None,
             may_be_reaped: false,
         }
     }
 
-    /// What it requests, as far as that is known.
+    /// Returns the resources that the attempt requests, or none at all if its job is unknown.
     pub fn request(&self) -> Resources {
         self.demand
             .map_or(Resources::default(), |demand| demand.request)
     }
 
-    /// The image that it needs.
+    /// Returns the image that the attempt needs, or `None` if its job is unknown.
     pub fn image(&self) -> Option<ImageKey> {
         self.desc.as_ref().map(|desc| desc.image_key())
     }
 
-    /// Whether it has ended.
+    /// Whether the attempt has ended.
     pub fn has_exited(&self) -> bool {
         self.phase == AttemptPhase::Exited
     }
 
-    /// Whether it is to be stopped.
+    /// Whether the attempt is to be stopped.
     pub fn is_stopping(&self) -> bool {
         self.stop.is_some()
     }
 
-    /// Whether it was abandoned before any heartbeat showed it.
+    /// Whether the launch was abandoned before any heartbeat showed the attempt.
     pub fn is_abandoned(&self) -> bool {
-        self.abandoned.is_some()
+        self.abandonment_token.is_some()
     }
 
-    /// Has it stopped within a grace period in seconds, or within the shorter one that it
-    /// has already.
+    /// Requests that the attempt is stopped within a grace period in seconds. If a stop was
+    /// requested before, the shorter grace period applies.
     pub fn request_stop(&mut self, grace_period_s: f64) {
         let stop = self.stop.get_or_insert(StopRequest {
             grace_period_s,
@@ -116,34 +118,34 @@
         stop.grace_period_s = stop.grace_period_s.min(grace_period_s);
     }
 
-    /// Whether its launch is wanted and no heartbeat has shown it.
+    /// Whether the attempt is still to be launched and no heartbeat has shown it.
     pub(super) fn is_launch_pending(&self) -> bool {
-        self.phase == AttemptPhase::Launching && self.abandoned.is_none()
+        self.phase == AttemptPhase::Launching && self.abandonment_token.is_none()
     }
 
-    /// Gives it up before any heartbeat has shown it.
+    /// Abandons the launch before any heartbeat has shown the attempt. A worker that has seen
+    /// `token` drops the launch.
     pub(super) fn abandon(&mut self, token: FencingToken) {
-        self.abandoned = Some(token);
+        self.abandonment_token = Some(token);
     }
 
-    /// Whether it was abandoned and the worker drops its launch, since it has seen this
-    /// token.
+    /// Whether the launch was abandoned and a worker that has seen the token `seen` drops it.
     pub(super) fn is_fenced_by(&self, seen: FencingToken) -> bool {
-        self.abandoned.is_some_and(|abandoned| seen >= abandoned)
+        self.abandonment_token.is_some_and(|token| seen >= token)
     }
 
-    /// Marks the command to stop it as sent and gives its grace period in seconds. None: it
-    /// is not to be stopped.
+    /// Marks the command to stop the attempt as sent and returns its grace period in seconds.
+    /// Returns `None` if the attempt is not to be stopped.
     pub(super) fn send_stop(&mut self) -> Option<f64> {
         let stop = self.stop.as_mut()?;
         stop.is_sent = true;
         Some(stop.grace_period_s)
     }
 
-    /// Whether a command for it has not been sent yet.
+    /// Whether there is a command for the attempt that has not been sent yet.
     pub(super) fn has_unsent_command(&self) -> bool {
         match self.phase {
-            AttemptPhase::Launching => !self.is_launch_sent && self.abandoned.is_none(),
+            AttemptPhase::Launching => !self.is_launch_sent && self.abandonment_token.is_none(),
             AttemptPhase::Exited | AttemptPhase::Saving => false,
             _ => self.stop.is_some_and(|stop| !stop.is_sent),
         }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -1,14 +1,15 @@
-//! What a machine's worker is commanded, and what follows when a direct command is lost.
+//! The commands that are sent to a machine's worker, and the consequences of direct commands that
+//! are lost or can't be sent.
 
 use super::{Attempt, AttemptKey, AttemptPhase, Machine, WorkerCommand};
 use crate::clock::Micros;
 
-/// The way by which commands are sent to a worker.
+/// The route on which commands are sent to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandRoute {
-    /// In the response to a heartbeat: what the next heartbeat shows acknowledges it.
+    /// The response to a heartbeat. The state that the next heartbeat shows acknowledges it.
     Response,
-    /// In a direct command.
+    /// A direct command.
     Direct,
 }
 
@@ -18,47 +19,50 @@
         self.direct_commands.is_in_flight()
     }
 
-    /// No direct command is sent before this instant.
+    /// Returns the instant before which no direct command is sent.
     pub fn next_direct_command_at(&self) -> Micros {
         self.direct_commands.next_at()
     }
 
-    /// Direct commands in a row that could not be sent.
+    /// Returns the number of consecutive direct commands that could not be sent.
     pub fn unsent_commands(&self) -> u32 {
-        self.direct_commands.unsent()
+        self.direct_commands.consecutive_unsent()
     }
 
-    /// How many direct commands have carried the token to it after a failover.
+    /// Returns the number of direct commands that were sent after a failover to make the owner's
+    /// fencing token known to the worker.
     pub fn token_commands(&self) -> u32 {
         self.direct_commands.token_commands()
     }
 
-    /// A direct command is about to be sent, perhaps to carry the token after a failover;
-    /// the next one may follow at an instant.
-    pub fn record_direct_command_sent(&mut self, carries_token: bool, next_at: Micros) {
+    /// Records that a direct command is about to be sent and that the next one may be sent from
+    /// `next_at` on. `delivers_token` says whether the command is sent to make the owner's fencing
+    /// token known to the worker after a failover.
+    pub fn record_direct_command_sent(&mut self, delivers_token: bool, next_at: Micros) {
         self.direct_commands
-            .record_sent(self.agent.position(), carries_token, next_at);
+            .record_sent(self.agent.position(), delivers_token, next_at);
     }
 
-    /// The worker replied to a direct command.
+    /// Records that the worker replied to a direct command.
     pub fn record_direct_command_reply(&mut self) {
         self.direct_commands.record_reply();
         self.agent.set_needs_probe(false);
     }
 
-    /// A direct command was not replied to: it may still arrive, minutes late.
+    /// Records that a direct command was not answered. It may still arrive, even minutes late, so
+    /// the fencing token is raised.
     pub fn record_direct_command_lost(&mut self) {
         self.direct_commands.record_completed();
         self.fencing.fence_delayed_commands();
     }
 
-    /// A direct command was surely not sent, and may be tried again at an instant. Launches
-    /// that nothing else carried are dropped and returned, so that the tasks can start
-    /// elsewhere.
+    /// Records that a direct command is known not to have been sent and may be retried from
+    /// `retry_at` on. Removes and returns the attempts whose launch no other message contained,
+    /// so that their tasks can start on other machines.
     pub fn record_direct_command_not_sent(&mut self, retry_at: Micros) -> Vec<AttemptKey> {
         self.direct_commands.record_not_sent(retry_at);
         self.agent.set_needs_probe(true);
-        // What an earlier direct command may still carry is not among them.
+        // A launch in an earlier direct command that may still arrive must not be given up.
         if self.fencing.has_delayed_commands() {
             return Vec::new();
         }
@@ -73,7 +77,7 @@
             .collect()
     }
 
-    /// Has all launches sent again that no heartbeat has shown.
+    /// Marks all launches that no heartbeat has shown to be sent again.
     pub fn resend_launches(&mut self) {
         for attempt in self.attempts.values_mut() {
             if attempt.phase == AttemptPhase::Launching {
@@ -82,7 +86,8 @@
         }
     }
 
-    /// Abandons the selected attempts that no heartbeat has shown.
+    /// Abandons the selected attempts that no heartbeat has shown, and raises the fencing token if
+    /// there are any.
     fn abandon_launching(&mut self, selects: impl Fn(&AttemptKey) -> bool) {
         let mut abandoned = self
             .attempts
@@ -98,8 +103,8 @@
         }
     }
 
-    /// Stops the selected attempts: those that no heartbeat has shown at once, the others
-    /// within a grace period in seconds.
+    /// Stops the selected attempts. Those that no heartbeat has shown are abandoned at once; the
+    /// others are stopped within a grace period in seconds.
     pub fn stop(&mut self, grace_period_s: f64, selects: impl Fn(&AttemptKey) -> bool) {
         self.abandon_launching(&selects);
         for (key, attempt) in &mut self.attempts {
@@ -109,13 +114,14 @@
         }
     }
 
-    /// The commands that the worker is to carry out now, which are marked as sent.
+    /// Returns the commands that the worker is to carry out now, and marks them as sent. Returns
+    /// none while the machine is unconfirmed.
     pub fn commands(&mut self, route: CommandRoute) -> Vec<WorkerCommand> {
         if self.is_unconfirmed() {
             return Vec::new();
         }
-        // After a reap the worker has forgotten the attempt, so a launch that may still
-        // arrive would run it once more: reaping waits until none can.
+        // A worker that has reaped an attempt has forgotten it, so a delayed launch would run the
+        // attempt again. Nothing is reaped while a delayed launch may still arrive.
         let may_reap = self.has_no_command_in_transit();
         let mut commands = Vec::new();
         for (key, attempt) in &mut self.attempts {
@@ -127,19 +133,20 @@
                 attempt.unacknowledged_sends += 1;
             }
         }
-        // Capacity is freed before it is used.
+        // Launches come last, so that the other commands free capacity for them first.
         commands.sort_by_key(|command| matches!(command, WorkerCommand::Launch { .. }));
         commands
     }
 
-    /// Whether anything is to be sent that can't wait for the next heartbeat.
+    /// Whether there is a probe or a command to send before the next heartbeat.
     pub fn needs_direct_command(&self) -> bool {
         self.needs_probe() || self.attempts.values().any(Attempt::has_unsent_command)
     }
 }
 
 impl Attempt {
-    /// What the worker is to do with it now, which is marked as sent.
+    /// Returns the command that the worker is to carry out for this attempt now, and marks it as
+    /// sent. Returns `None` if there is none.
     fn command(&mut self, key: &AttemptKey, may_reap: bool) -> Option<WorkerCommand> {
         let (task, attempt) = (key.task.to_string(), key.attempt);
         match self.phase {
--- a/src/workers/commands/tests.rs
+++ b/src/workers/commands/tests.rs
@@ -1,8 +1,12 @@
+//! Tests of the commands that are sent to a machine's worker.
+
 use crate::clock::Micros;
 use crate::ids::FencingToken;
 use crate::workers::tests::{heartbeat, launch, launch_count, machine};
 use crate::workers::{CommandRoute, WorkerCommand};
 
+/// Guards against a launch that is lost with its response and never sent again, and against the
+/// capacity of such an attempt being counted as free.
 #[test]
 fn a_launch_that_no_heartbeat_shows_is_kept_and_sent_again() {
     let mut machine = machine();
@@ -20,6 +24,8 @@
     assert_eq!(machine.compute_load().summed.cores, 2.0);
 }
 
+/// Guards against a task that runs twice: a worker that has reaped an attempt starts it again when
+/// an unanswered direct command with its launch arrives late.
 #[test]
 fn a_lost_direct_command_delays_reaping_until_it_is_fenced() {
     let mut machine = machine();
@@ -36,7 +42,7 @@
     assert_eq!(
         machine.commands(CommandRoute::Response),
         vec![],
-        "the late launch would run it again after a reap"
+        "the delayed launch would run the attempt again after a reap"
     );
     machine.reconcile(
         Micros(2),
@@ -54,6 +60,8 @@
     ));
 }
 
+/// Guards against an abandoned attempt that keeps running because its launch reached the worker
+/// before the raised fencing token did.
 #[test]
 fn an_abandoned_launch_that_began_is_stopped() {
     let mut machine = machine();
--- a/src/workers/direct_commands.rs
+++ b/src/workers/direct_commands.rs
@@ -1,5 +1,5 @@
-//! The channel on which an owner sends commands straight to a machine's worker, beside the
-//! responses to its heartbeats.
+//! The channel on which an owner sends commands directly to a machine's worker, in addition to
+//! the responses to the worker's heartbeats. At most one direct command to a machine is in flight.
 
 use super::agent::HeartbeatPosition;
 use super::fencing::MAX_UNACKNOWLEDGED;
@@ -8,32 +8,34 @@
 /// The last direct command that was sent.
 #[derive(Debug, Clone, Copy)]
 struct LastDirectCommand {
-    /// The newest heartbeat known when it was sent: its reply is newer.
+    /// Position of the newest heartbeat that was accepted before the command was sent. The reply
+    /// is newer, unless the worker restarted.
     known_position: HeartbeatPosition,
-    /// Whether its reply, or that there is none, is still to come.
+    /// Whether neither a reply nor a failure of the command has been recorded yet.
     is_in_flight: bool,
 }
 
-/// The state of a machine's direct-command channel: at most one command is in flight.
+/// The state of a machine's direct-command channel.
 #[derive(Debug)]
 pub(super) struct DirectCommandChannel {
     last: Option<LastDirectCommand>,
-    /// No direct command is sent before.
+    /// Instant before which no direct command is sent.
     next_at: Micros,
-    /// Direct commands in a row that could not be sent. Heartbeats do not make up for them:
-    /// they may arrive while nothing reaches the worker.
-    unsent: u32,
-    /// How many direct commands have carried the token to the machine after a failover.
+    /// Number of consecutive direct commands that could not be sent. A heartbeat does not reset
+    /// it, because heartbeats may arrive while nothing reaches the worker.
+    consecutive_unsent: u32,
+    /// Number of direct commands that were sent after a failover to make the owner's fencing
+    /// token known to the worker.
     token_commands: u32,
 }
 
 impl DirectCommandChannel {
-    /// A channel on which nothing was sent.
+    /// Creates a channel on which nothing has been sent.
     pub(super) fn new() -> Self {
         DirectCommandChannel {
             last: None,
             next_at: Micros::ZERO,
-            unsent: 0,
+            consecutive_unsent: 0,
             token_commands: 0,
         }
     }
@@ -43,66 +45,67 @@
         self.last.is_some_and(|last| last.is_in_flight)
     }
 
-    /// The newest heartbeat known when the last direct command was sent.
+    /// Returns the position of the newest heartbeat that was accepted before the last direct
+    /// command was sent.
     pub(super) fn known_position(&self) -> HeartbeatPosition {
         self.last
             .map_or(HeartbeatPosition::default(), |last| last.known_position)
     }
 
-    /// No direct command is sent before this instant.
+    /// Returns the instant before which no direct command is sent.
     pub(super) fn next_at(&self) -> Micros {
         self.next_at
     }
 
-    /// Direct commands in a row that could not be sent.
-    pub(super) fn unsent(&self) -> u32 {
-        self.unsent
+    /// Returns the number of consecutive direct commands that could not be sent.
+    pub(super) fn consecutive_unsent(&self) -> u32 {
+        self.consecutive_unsent
     }
 
-    /// Whether so many direct commands in a row could not be sent that the worker counts as
-    /// unreachable.
+    /// Whether at least [`MAX_UNACKNOWLEDGED`] consecutive direct commands could not be sent.
     pub(super) fn is_unreachable(&self) -> bool {
-        self.unsent >= MAX_UNACKNOWLEDGED
+        self.consecutive_unsent >= MAX_UNACKNOWLEDGED
     }
 
-    /// How many direct commands have carried the token to the machine after a failover.
+    /// Returns the number of direct commands that were sent after a failover to make the owner's
+    /// fencing token known to the worker.
     pub(super) fn token_commands(&self) -> u32 {
         self.token_commands
     }
 
-    /// Records that a direct command is sent, and when the next one may follow.
+    /// Records that a direct command is sent and that the next one may be sent from `next_at` on.
     pub(super) fn record_sent(
         &mut self,
         known_position: HeartbeatPosition,
-        carries_token: bool,
+        delivers_token: bool,
         next_at: Micros,
     ) {
         self.last = Some(LastDirectCommand {
             known_position,
             is_in_flight: true,
         });
-        self.token_commands += u32::from(carries_token);
+        self.token_commands += u32::from(delivers_token);
         self.next_at = next_at;
     }
 
-    /// Records that the command is no longer in flight.
+    /// Records that the last direct command is no longer in flight.
     pub(super) fn record_completed(&mut self) {
         if let Some(last) = &mut self.last {
             last.is_in_flight = false;
         }
     }
 
-    /// Records a reply: the worker is reachable.
+    /// Records a reply to the last direct command, which shows that the worker is reachable.
     pub(super) fn record_reply(&mut self) {
         self.record_completed();
-        self.unsent = 0;
+        self.consecutive_unsent = 0;
     }
 
-    /// Records that the command was not sent, and when the next one may be tried.
+    /// Records that the last direct command was not sent and may be retried from `retry_at` on.
     pub(super) fn record_not_sent(&mut self, retry_at: Micros) {
         self.record_completed();
         self.next_at = retry_at;
         self.token_commands = self.token_commands.saturating_sub(1);
-        self.unsent += 1;
+        self.consecutive_unsent += 1;
     }
 }
--- a/src/workers/liveness.rs
+++ b/src/workers/liveness.rs
@@ -1,25 +1,27 @@
-//! When a machine's worker was last known to live, and from when on its lease counts.
+//! The last contacts with a machine's worker, and the start of the worker's lease.
 
 use crate::clock::Micros;
 
-/// The instants that show whether a worker lives and how long its lease may last.
+/// The instants that show whether a worker is alive and when its lease expires at the latest.
 #[derive(Debug)]
 pub(super) struct Liveness {
-    /// When this owner got the machine.
+    /// Instant at which this owner received the machine.
     added_at: Micros,
-    /// When the last heartbeat counted, those in replies to direct commands included.
+    /// Instant of the last accepted heartbeat, including heartbeats in replies to direct commands;
+    /// `None` if there was none.
     last_contact_at: Option<Micros>,
-    /// When the last heartbeat counted that the worker sent by itself: only the response to
-    /// such a one renews its lease.
+    /// Instant of the last accepted heartbeat that the worker sent on its own; `None` if there was
+    /// none. Only the response to such a heartbeat renews the worker's lease.
     last_heartbeat_at: Option<Micros>,
-    /// When a heartbeat was last responded to under a valid token.
+    /// Instant of the last response to a heartbeat under a valid token.
     last_response_at: Micros,
-    /// By when the current agent epoch had begun: the lease counts from there, too.
+    /// Instant by which the current agent epoch had started. The worker's lease starts anew with
+    /// each agent epoch.
     agent_epoch_started_at: Micros,
 }
 
 impl Liveness {
-    /// A machine that this owner gets now.
+    /// Starts tracking a machine that this owner receives now.
     pub(super) fn new(now: Micros) -> Self {
         Liveness {
             added_at: now,
@@ -30,34 +32,36 @@
         }
     }
 
-    /// When this owner got the machine.
+    /// Returns the instant at which this owner received the machine.
     pub(super) fn added_at(&self) -> Micros {
         self.added_at
     }
 
-    /// When the last heartbeat counted, those in replies to direct commands included.
+    /// Returns the instant of the last accepted heartbeat, including heartbeats in replies to
+    /// direct commands; `None` if there was none.
     pub(super) fn last_contact_at(&self) -> Option<Micros> {
         self.last_contact_at
     }
 
-    /// When the last heartbeat counted that the worker sent by itself.
+    /// Returns the instant of the last accepted heartbeat that the worker sent on its own; `None`
+    /// if there was none.
     pub(super) fn last_heartbeat_at(&self) -> Option<Micros> {
         self.last_heartbeat_at
     }
 
-    /// From when on the worker's lease may count: a response that it can have got, or the
-    /// start of its agent epoch. Both begin with the grant of the partition, since until
-    /// then an earlier owner can have responded.
+    /// Returns the latest instant at which the worker's lease can have started: the last response
+    /// to a heartbeat, or the start of the agent epoch. Initially both are the instant at which
+    /// this owner received the machine, because an earlier owner may have responded until then.
     pub(super) fn lease_started_at(&self) -> Micros {
         self.last_response_at.max(self.agent_epoch_started_at)
     }
 
-    /// Records a heartbeat that counts.
-    pub(super) fn record_counted(&mut self, now: Micros) {
+    /// Records an accepted heartbeat.
+    pub(super) fn record_contact(&mut self, now: Micros) {
         self.last_contact_at = Some(now);
     }
 
-    /// Records a heartbeat that the worker sent by itself.
+    /// Records an accepted heartbeat that the worker sent on its own.
     pub(super) fn record_heartbeat(&mut self, now: Micros) {
         self.last_heartbeat_at = Some(now);
     }
@@ -67,7 +71,7 @@
         self.last_response_at = now;
     }
 
-    /// Records that the worker has begun another agent epoch by now.
+    /// Records that the worker has started another agent epoch by now.
     pub(super) fn record_epoch_start(&mut self, now: Micros) {
         self.agent_epoch_started_at = now;
     }
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -1,4 +1,5 @@
-//! An owner's picture of one machine, made of the parts that the other files hold.
+//! The owner's state of one machine. It is composed of the state that the sibling modules
+//! define; most methods here delegate to it.
 
 use super::agent::AgentState;
 use super::direct_commands::DirectCommandChannel;
@@ -14,39 +15,41 @@
 use crate::jobs::ImageKey;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An owner's picture of one machine.
+/// The owner's state of one machine.
 #[derive(Debug)]
 pub struct Machine {
-    /// What it is.
+    /// The machine's properties.
     pub spec: MachineSpec,
     pub(super) fencing: Fencing,
     pub(super) agent: AgentState,
     pub(super) liveness: Liveness,
     pub(super) direct_commands: DirectCommandChannel,
-    /// Attempts that are, or may still be, on it.
+    /// Attempts that are, or may still be, on the machine.
     pub attempts: BTreeMap<AttemptKey, Attempt>,
-    /// Images that it has most likely.
+    /// Images that the machine has probably stored.
     pub images: BTreeSet<ImageKey>,
-    /// When the cloud preempts it, if it has given notice.
+    /// Instant at which the cloud preempts the machine; `None` if the cloud has given no notice.
     pub(super) preempted_at: Option<Micros>,
     pub(super) schedulability: Schedulability,
     pub(super) release_state: ReleaseState,
-    /// Whether it is recorded as used: nothing is launched on it before.
+    /// Whether the machine is recorded as used. Nothing is launched on a machine before that.
     pub used: bool,
-    /// Whether it was in use before this owner got it, so that its minimum charge is paid.
+    /// Whether the machine was in use before this owner received it, so that the cloud's minimum
+    /// charge for it is already paid.
     pub minimum_charge_paid: bool,
-    /// Since when nothing is on it.
+    /// Instant since which no attempt has been on the machine.
     pub(super) idle_since: Micros,
-    /// Capacity that is kept for jobs.
+    /// Capacity of the machine that is reserved for jobs.
     pub reservations: Reservations,
-    /// What its attempts request together, as it was last added to the team usage.
+    /// Total request of the machine's attempts, as it was last added to the usage of the teams.
     pub load: Load,
-    /// The jobs that failed on it since any task last succeeded there.
+    /// The jobs that failed on the machine since any task last succeeded on it.
     pub failures: JobFailures,
 }
 
 impl Machine {
-    /// A machine of which no heartbeat has arrived, to be commanded under a term.
+    /// Creates the state of a machine that sent no heartbeat yet. Its commands are sent under
+    /// fencing tokens of `term`.
     pub fn new(now: Micros, term: Term, spec: MachineSpec) -> Self {
         Machine {
             spec,
@@ -68,13 +71,13 @@
         }
     }
 
-    /// The token that its worker is to obey now.
+    /// Returns the fencing token under which commands are sent to the worker now.
     pub fn fencing_token(&self) -> FencingToken {
         self.fencing.token()
     }
 
-    /// The agent epoch that a direct command is meant for; the worker refuses a wrong one
-    /// with a fresh heartbeat.
+    /// Returns the agent epoch to which direct commands are addressed. A worker that is in
+    /// another epoch rejects the command and replies with a new heartbeat.
     pub fn target_agent_epoch(&self) -> u64 {
         self.agent.target_epoch()
     }
@@ -84,126 +87,135 @@
         self.agent.position().is_known()
     }
 
-    /// Whether any heartbeat of it has arrived, even if it did not count.
+    /// Whether any heartbeat of the machine has arrived, accepted or stale.
     pub fn has_sent_heartbeat(&self) -> bool {
         self.agent.has_sent_heartbeat()
     }
 
-    /// Whether an earlier owner held it and no heartbeat has shown this owner's token: it may
-    /// hold anything.
+    /// Whether an earlier owner may have used the machine and no heartbeat has shown this owner's
+    /// term since. Such a machine may run any attempts.
     pub fn is_unconfirmed(&self) -> bool {
         self.agent.is_unconfirmed()
     }
 
-    /// Records whether an earlier owner may have used it.
+    /// Records whether an earlier owner may have used the machine.
     pub fn set_unconfirmed(&mut self, is_unconfirmed: bool) {
         self.agent.set_unconfirmed(is_unconfirmed);
     }
 
-    /// Whether a direct command is to find out its worker's state.
+    /// Whether a direct command is needed to find out the worker's state.
     pub fn needs_probe(&self) -> bool {
         self.agent.needs_probe()
     }
 
-    /// Has a direct command find out its worker's state.
+    /// Requests a direct command that finds out the worker's state.
     pub fn request_probe(&mut self) {
         self.agent.set_needs_probe(true);
     }
 
-    /// Its worker's state needs no direct command any more.
+    /// Cancels the request for a direct command that finds out the worker's state.
     pub fn cancel_probe(&mut self) {
         self.agent.set_needs_probe(false);
     }
 
-    /// When this owner got it.
+    /// Returns the instant at which this owner received the machine.
     pub fn added_at(&self) -> Micros {
         self.liveness.added_at()
     }
 
-    /// When the last heartbeat counted, those in replies to direct commands included.
+    /// Returns the instant of the last accepted heartbeat, including heartbeats in replies to
+    /// direct commands; `None` if there was none.
     pub fn last_contact_at(&self) -> Option<Micros> {
         self.liveness.last_contact_at()
     }
 
-    /// When the last heartbeat counted that the worker sent by itself: only the response to
-    /// such a one renews its lease.
+    /// Returns the instant of the last accepted heartbeat that the worker sent on its own; `None`
+    /// if there was none. Only the response to such a heartbeat renews the worker's lease.
     pub fn last_heartbeat_at(&self) -> Option<Micros> {
         self.liveness.last_heartbeat_at()
     }
 
-    /// From when on the worker's lease may count: a response that it can have got, or the
-    /// start of its agent epoch.
+    /// Returns the latest instant at which the worker's lease can have started: the last response
+    /// to a heartbeat, or the start of the agent epoch.
     pub fn lease_started_at(&self) -> Micros {
         self.liveness.lease_started_at()
     }
 
-    /// When the cloud preempts it, if it has given notice.
+    /// Returns the instant at which the cloud preempts the machine; `None` if the cloud has given
+    /// no notice.
     pub fn preempted_at(&self) -> Option<Micros> {
         self.preempted_at
     }
 
-    /// Since when nothing is on it.
+    /// Returns the instant since which no attempt has been on the machine.
     pub fn idle_since(&self) -> Micros {
         self.idle_since
     }
 
-    /// Whether it may be given tasks, as far as its own conduct goes.
+    /// Whether the machine is neither cordoned nor quarantined. Other conditions may still forbid
+    /// launching tasks on it.
     pub fn is_schedulable(&self) -> bool {
         self.schedulability.is_open()
     }
 
-    /// It is silent: it gets no tasks until a heartbeat counts again.
+    /// Cordons the machine because it is silent: no tasks are launched on it until a heartbeat is
+    /// accepted again.
     pub fn cordon(&mut self) {
         self.schedulability.cordon();
     }
 
-    /// It fails tasks: it gets none any more.
+    /// Quarantines the machine because tasks fail on it: no more tasks are launched on it.
     pub fn quarantine(&mut self) {
         self.schedulability.quarantine();
     }
 
-    /// How far its release has got.
+    /// Returns the state of the machine's release from the partition.
     pub fn release_state(&self) -> ReleaseState {
         self.release_state
     }
 
-    /// Whether the partition keeps it.
+    /// Whether the machine is in the partition and its release is not in progress.
     pub fn is_active(&self) -> bool {
         self.release_state.is_active()
     }
 
-    /// A write that releases it is sent; it depends on this revision of its shard.
+    /// Records that a write which releases the machine is sent. The write depends on this
+    /// revision of the machine's shard.
     pub fn request_release(&mut self, revision: Revision) {
         self.release_state.request(revision);
     }
 
-    /// The write that releases it has this result.
+    /// Records the result of the write that releases the machine.
     pub fn record_release_outcome(&mut self, outcome: ReleaseOutcome) {
         self.release_state.record_outcome(outcome);
     }
 
-    /// Its shard is at this revision.
+    /// Records the current revision of the machine's shard.
     pub fn record_shard_revision(&mut self, current: Revision) {
         self.release_state.record_shard_revision(current);
     }
 
-    /// Whether a task of a job failed here lately, so that it tries other machines first.
+    /// Whether a task of the job failed on this machine within the avoidance period, during which
+    /// the job tries other machines first.
     pub fn is_avoided_by(&self, job: &JobId, now: Micros) -> bool {
         self.failures.is_recent(job, now)
     }
 
-    /// Whether no command may still arrive by a way that outlives a response.
+    /// Whether no direct command is in flight or may still arrive. Unlike a response, a direct
+    /// command may arrive long after it was sent.
     pub fn has_no_command_in_transit(&self) -> bool {
         !self.direct_commands.is_in_flight() && !self.fencing.has_delayed_commands()
     }
 
-    /// Whether no owner's attempts are on it or may still arrive.
+    /// Whether no attempt, of this owner or of an earlier one, is on the machine or may still be
+    /// started by a delayed command.
     pub fn is_empty(&self) -> bool {
         self.attempts.is_empty() && self.has_no_command_in_transit() && !self.is_unconfirmed()
     }
 
-    /// Whether its worker heeds neither responses nor direct commands, though it may send
-    /// heartbeats: nothing more is started there, and what is open stays open.
+    /// Whether responses or direct commands do not reach the worker, although it may still send
+    /// heartbeats. Nothing more is started on such a machine, and attempts that have not ended
+    /// stay on it.
     pub fn is_unreachable(&self) -> bool {
         self.fencing.is_unacknowledged()
             || self.direct_commands.is_unreachable()
@@ -213,29 +225,30 @@
                 .any(|attempt| attempt.unacknowledged_sends >= MAX_UNACKNOWLEDGED)
     }
 
-    /// Adds up what its attempts request, those that may not have ended included.
+    /// Returns the total request of the attempts that are not known to have ended.
     pub fn compute_load(&self) -> Load {
         let mut load = Load {
             unknown: self.is_unconfirmed(),
             ..Load::default()
         };
-        let open = self
+        let unfinished = self
             .attempts
             .values()
             .filter(|attempt| !attempt.has_exited());
-        for attempt in open {
+        for attempt in unfinished {
             match attempt.demand {
                 Some(demand) => load.take(demand.team, demand.request),
-                // Guards against a team above its quota limit: a cancelled job's record is
-                // deleted, but its tasks are on their machine until they have ended.
+                // Guards against a team that exceeds its quota limit: the record of a cancelled
+                // job is deleted, but its tasks use their machine until they have ended.
                 None => load.unknown = true,
             }
         }
         load
     }
 
-    /// Its worker's lease has surely expired, or the machine is lost: nothing runs there.
-    /// Returns the attempts that had not ended.
+    /// Records that nothing runs on the machine any more, because its worker's lease is guaranteed
+    /// to have expired or the machine is lost. Removes all attempts and returns the keys of those
+    /// that had not ended.
     pub fn expire(&mut self) -> Vec<AttemptKey> {
         self.agent.set_unconfirmed(false);
         self.fencing.discard_delayed_commands();
--- a/src/workers/machine/tests.rs
+++ b/src/workers/machine/tests.rs
@@ -1,9 +1,13 @@
+//! Tests of the state that an owner keeps of a machine.
+
 use super::MAX_UNACKNOWLEDGED;
 use crate::clock::Micros;
 use crate::ids::FencingToken;
 use crate::workers::CommandRoute;
 use crate::workers::tests::{heartbeat, launch, machine};
 
+/// Guards against launching tasks on a machine whose heartbeats arrive but which neither sees the
+/// owner's fencing token nor carries out a command, because nothing that is sent reaches it.
 #[test]
 fn a_machine_that_acknowledges_no_response_is_unreachable_until_it_does() {
     let mut machine = machine();
@@ -13,7 +17,7 @@
         unacknowledging.heartbeat_sequence = u64::from(number);
         machine.record_response(Micros(u64::from(number)), &unacknowledging);
     }
-    assert!(machine.is_unreachable(), "it never showed the token");
+    assert!(machine.is_unreachable(), "no heartbeat showed the token");
     machine.reconcile(
         Micros(9),
         &heartbeat("m", 1, 9, machine.fencing_token(), &[]),
@@ -28,5 +32,5 @@
         assert!(!machine.is_unreachable());
         machine.commands(CommandRoute::Response);
     }
-    assert!(machine.is_unreachable(), "nor carried out a command");
+    assert!(machine.is_unreachable(), "no heartbeat showed the launch");
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,9 +1,14 @@
-//! Machines' workers: the heartbeats that they send, the commands that they get, and an
-//! owner's picture of each of its machines.
+//! Workers: the heartbeats that they send, the commands that they receive, and the state that
+//! a controller keeps of each machine in a partition that it owns.
 //!
-//! This module owns the worker protocol's messages and [`Machine`]. It decides which commands
-//! may still reach a worker and which attempts have surely ended; it never decides what runs
-//! where, never waits, and never reads the clock.
+//! The controller that owns a machine's partition is called the machine's owner. A heartbeat is
+//! accepted if it is newer than every heartbeat accepted before and shows a fencing token of the
+//! owner's term or of a later one; any other heartbeat is stale. Only accepted heartbeats change
+//! what the owner knows of the attempts on a machine.
+//!
+//! This module defines the messages of the worker protocol and [`Machine`]. It tracks which
+//! commands may still reach a worker and which attempts are guaranteed to have ended. It does not
+//! decide what runs where, never waits, and never reads the clock.
 
 mod agent;
 mod attempt;
--- a/src/workers/protocol.rs
+++ b/src/workers/protocol.rs
@@ -1,66 +1,68 @@
 //! The messages of the workers' HTTP interface: heartbeats, the responses to them, and direct
 //! commands.
 //!
-//! The serde names are the interface's own and never change; the Rust names are the field's.
+//! The serde names are fixed by the interface and must never change. The Rust names follow the
+//! usual terms of cluster schedulers.
 
 use crate::clock::Micros;
 use crate::ids::{AttemptId, FencingToken, MachineId};
 use serde::{Deserialize, Serialize};
 
-/// How far an attempt has got.
+/// The phase of an attempt's life cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptPhase {
-    /// Known to the owner alone: the launch was decided, no heartbeat has shown it yet.
+    /// The owner decided to launch the attempt, and no accepted heartbeat has shown it yet.
+    /// Workers never report this phase.
     #[serde(skip)]
     Launching,
-    /// Waiting for its image.
+    /// The machine is fetching the attempt's image.
     Pulling,
-    /// Running.
+    /// The attempt runs.
     Running,
-    /// Being stopped, and saving a checkpoint of its progress.
+    /// The attempt is being stopped and saves a checkpoint of its progress.
     Saving,
-    /// Ended; the worker shows it until it is reaped.
+    /// The attempt has ended. The worker reports it until it is reaped.
     Exited,
-    /// A value that this version does not know.
+    /// A phase that this version does not know.
     #[serde(other)]
     Other,
 }
 
-/// Why an attempt ended.
+/// The reason why an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitCause {
-    /// It completed.
+    /// The attempt completed its task.
     Done,
-    /// It was stopped by a command.
+    /// The attempt was stopped by a command.
     Stopped,
-    /// It failed.
+    /// The attempt failed.
     Error,
-    /// Rejected: not enough free capacity on the machine.
+    /// The worker rejected the launch: the machine has too little free capacity.
     NoRoom,
-    /// Rejected: another attempt of the task is on the machine.
+    /// The worker rejected the launch: another attempt of the task is on the machine.
     InUse,
-    /// Rejected: no such job or task.
+    /// The worker rejected the launch: the job or the task does not exist.
     Unknown,
-    /// A value that this version does not know.
+    /// A cause that this version does not know.
     #[serde(other)]
     Other,
 }
 
-/// One attempt in a worker's heartbeat.
+/// The status of one attempt in a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct TaskStatus {
-    /// The task, as `job/index`.
+    /// The task, in the form `job/index`.
     #[serde(rename = "hand")]
     pub task: String,
-    /// Which attempt of the task.
+    /// The attempt of the task.
     #[serde(rename = "try")]
     pub attempt: AttemptId,
-    /// How far it has got.
+    /// The attempt's phase.
     #[serde(rename = "standing")]
     pub phase: AttemptPhase,
-    /// Why it ended, once it has.
+    /// The reason why the attempt ended; `None` while it has not ended.
     #[serde(default)]
     pub cause: Option<ExitCause>,
 }
@@ -82,19 +84,20 @@
     /// Whether the machine is a spot instance, which the cloud may preempt.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Increases each time the worker's lease expires, when it stops all tasks.
+    /// Number of the agent epoch. It increases each time the worker's lease expires, which
+    /// makes the worker stop all of its tasks.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
-    /// Increases with each heartbeat of an agent epoch.
+    /// Number of the heartbeat. It increases with each heartbeat of an agent epoch.
     #[serde(rename = "tally")]
     pub heartbeat_sequence: u64,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// Seconds until the cloud preempts the machine, once it has given notice.
+    /// Seconds until the cloud preempts the machine; `None` if the cloud has given no notice.
     #[serde(rename = "warningS", default)]
     pub termination_notice_s: Option<f64>,
-    /// All attempts on the machine.
+    /// The status of every attempt on the machine.
     #[serde(rename = "hands")]
     pub tasks: Vec<TaskStatus>,
 }
@@ -103,63 +106,65 @@
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum WorkerCommand {
-    /// Start an attempt.
+    /// Starts an attempt.
     Launch {
-        /// The task, as `job/index`.
+        /// The task, in the form `job/index`.
         #[serde(rename = "hand")]
         task: String,
-        /// Which attempt of the task.
+        /// The attempt of the task.
         #[serde(rename = "try")]
         attempt: AttemptId,
     },
-    /// Stop an attempt.
+    /// Stops an attempt.
     #[serde(rename = "halt")]
     Stop {
-        /// The task, as `job/index`.
+        /// The task, in the form `job/index`.
         #[serde(rename = "hand")]
         task: String,
-        /// Which attempt of the task.
+        /// The attempt of the task.
         #[serde(rename = "try")]
         attempt: AttemptId,
-        /// How long it may take for its checkpoint, in seconds.
+        /// Time that the attempt may take to save its checkpoint, in seconds.
         #[serde(rename = "leewayS")]
         grace_period_s: f64,
     },
-    /// Forget an attempt that has ended.
+    /// Makes the worker forget an attempt that has ended.
     Reap {
-        /// The task, as `job/index`.
+        /// The task, in the form `job/index`.
         #[serde(rename = "hand")]
         task: String,
-        /// Which attempt of the task.
+        /// The attempt of the task.
         #[serde(rename = "try")]
         attempt: AttemptId,
     },
 }
 
-/// The response to a heartbeat: it renews the worker's lease.
+/// The response to a heartbeat. It renews the worker's lease.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct HeartbeatResponse {
-    /// The fencing token under which it is sent.
+    /// The fencing token under which the response is sent.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// What to do, in this order.
+    /// The commands that the worker is to carry out, in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
-    /// Not to be sent from this instant on: the owner's lease may have expired.
+    /// Instant from which the response must not be sent, because the owner's lease may have
+    /// expired.
     #[serde(skip)]
     pub valid_until: Micros,
 }
 
-/// Commands that are sent straight to a worker, not in a response.
+/// Commands that are sent directly to a worker, not in the response to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct DirectCommand {
-    /// The fencing token under which it is sent.
+    /// The fencing token under which the command is sent.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// The agent epoch that it is meant for; the worker rejects it in another one.
+    /// The agent epoch for which the command is meant. The worker rejects the command in any
+    /// other epoch.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
-    /// What to do, in this order.
+    /// The commands that the worker is to carry out, in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
--- a/src/workers/protocol/tests.rs
+++ b/src/workers/protocol/tests.rs
@@ -1,3 +1,6 @@
+//! Tests of the worker protocol's wire form. They guard against a renamed, missing or added field
+//! or value, which would break the exchange with workers that are already deployed.
+
 use super::{
     AttemptPhase, DirectCommand, ExitCause, Heartbeat, HeartbeatResponse, TaskStatus, WorkerCommand,
 };
@@ -59,7 +62,7 @@
         ("running", AttemptPhase::Running),
         ("saving", AttemptPhase::Saving),
         ("exited", AttemptPhase::Exited),
-        // The owner's alone: no heartbeat can claim it.
+        // Only the owner uses this phase: a heartbeat can't report it.
         ("launching", AttemptPhase::Other),
         ("frozen", AttemptPhase::Other),
     ];
@@ -100,7 +103,7 @@
     };
     let commands = vec![launch, stop, reap];
     let listed = r#"[{"hand":"j-000412/3","try":2097153,"verb":"launch"},{"hand":"j-000412/3","leewayS":2.5,"try":2097153,"verb":"halt"},{"hand":"j-000412/3","try":2097153,"verb":"reap"}]"#;
-    // As they are sent: through a value, whose fields are sorted.
+    // Messages are sent as a JSON value, which sorts the fields by name.
     let sent = |message: serde_json::Value| message.to_string();
     let token = FencingToken(1_048_577);
     let response = HeartbeatResponse {
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -1,4 +1,7 @@
-//! Reconciliation: what a worker's heartbeat changes in the owner's picture of its machine.
+//! Reconciliation: updates the owner's state of a machine from a worker's heartbeat.
+//!
+//! An attempt is removed only when it is guaranteed not to run and not to be started later by a
+//! delayed command.
 
 use super::agent::{EpochChange, HeartbeatPosition};
 use super::{Attempt, AttemptKey, AttemptPhase, ExitCause, Heartbeat, Machine, TaskStatus};
@@ -6,35 +9,36 @@
 use crate::ids::{FencingToken, TaskId};
 use std::collections::BTreeSet;
 
-/// What a heartbeat changed.
+/// A change of an attempt that a heartbeat shows.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptEvent {
-    /// It began to run.
+    /// The attempt started to run.
     Started(AttemptKey),
-    /// It ended, and why.
+    /// The attempt ended for this reason.
     Ended(AttemptKey, ExitCause),
-    /// It ended without a trace: the agent epoch ended, or it never began.
+    /// The attempt is gone without a result, because the agent epoch ended or the attempt never
+    /// started.
     Lost(AttemptKey),
-    /// The heartbeat shows it, but it is not known here.
+    /// The heartbeat shows an attempt that is not in the owner's state.
     Unknown(AttemptKey, AttemptPhase, Option<ExitCause>),
 }
 
 impl Machine {
-    /// Whether a heartbeat is newer than what is known. An isolated network may keep
-    /// heartbeats back and deliver them late; their task lists are as old as they are.
+    /// Whether a heartbeat is newer than every heartbeat accepted before. An isolated network may
+    /// hold heartbeats back and deliver them late, with outdated task lists.
     pub fn is_newer(&self, heartbeat: &Heartbeat) -> bool {
         HeartbeatPosition::from(heartbeat) > self.agent.position()
     }
 
-    /// Whether a heartbeat shows this owner's term: only then does it count for anything.
-    /// What an earlier owner sent may still have been in transit when an older heartbeat was
-    /// made, and a copy of an older one may arrive at any time.
+    /// Whether a heartbeat shows this owner's term or a later one. No other heartbeat is accepted:
+    /// commands of an earlier owner may still have been in transit when the worker created it, and
+    /// a late copy of an old heartbeat may arrive at any time.
     pub fn shows_term(&self, heartbeat: &Heartbeat) -> bool {
         self.fencing.is_of_term(heartbeat.fencing_token)
     }
 
-    /// Records a heartbeat that does not count: from before this owner's term, or older than
-    /// another.
+    /// Records a stale heartbeat: one that shows an earlier term, or one that is not newer than
+    /// every heartbeat accepted before.
     pub fn record_stale_heartbeat(&mut self, heartbeat: &Heartbeat) {
         self.agent.record_stale(heartbeat);
         if self.fencing.is_regression(heartbeat.fencing_token) {
@@ -42,7 +46,7 @@
         }
     }
 
-    /// Records that the worker sent a heartbeat by itself that counts.
+    /// Records an accepted heartbeat that the worker sent on its own.
     pub fn record_heartbeat(&mut self, now: Micros) {
         self.liveness.record_heartbeat(now);
     }
@@ -53,17 +57,17 @@
         self.fencing.record_response(heartbeat.fencing_token);
     }
 
-    /// Whether a reply to a direct command shows that the worker restarted: it was made
-    /// after the command was sent, so it is newer than all that was known then, or of a
-    /// worker that restarted.
+    /// Whether a reply to a direct command shows that the worker restarted. The worker creates the
+    /// reply after the command was sent. If the reply is not newer than the newest heartbeat that
+    /// was known when the command was sent, the worker must have restarted.
     pub fn has_restarted(&self, reply: &Heartbeat) -> bool {
         self.agent.position().is_known()
             && HeartbeatPosition::from(reply) <= self.direct_commands.known_position()
     }
 
-    /// Records that the worker restarted and forgot its token, as its reply to a direct
-    /// command shows. What was sent before may still reach it, so that all it had is lost
-    /// only once it shows a higher token.
+    /// Records that the worker restarted and forgot its fencing token, as its reply to a direct
+    /// command shows. Commands sent before may still reach the worker, so its attempts count as
+    /// lost only once a heartbeat shows a higher token.
     pub fn record_restart(&mut self, now: Micros, reply: &Heartbeat) {
         self.liveness.record_epoch_start(now);
         self.agent.record_restart(reply);
@@ -71,7 +75,9 @@
         self.images.clear();
     }
 
-    /// Takes in a newer heartbeat that shows this owner's term.
+    /// Updates the machine from an accepted heartbeat and returns the changes of its attempts. The
+    /// caller must have checked that the heartbeat is newer than every one accepted before and
+    /// shows this owner's term.
     pub fn reconcile(&mut self, now: Micros, heartbeat: &Heartbeat) -> Vec<AttemptEvent> {
         self.reconcile_worker(now, heartbeat);
         let epoch_ended = self.reconcile_agent_epoch(now, heartbeat);
@@ -86,39 +92,40 @@
         events
     }
 
-    /// The worker lives, and has seen a token.
+    /// Records that the worker is alive, its address, and the token that it has seen.
     fn reconcile_worker(&mut self, now: Micros, heartbeat: &Heartbeat) {
-        self.liveness.record_counted(now);
+        self.liveness.record_contact(now);
         self.schedulability.uncordon();
         self.agent
-            .set_needs_probe(self.direct_commands.unsent() > 0);
+            .set_needs_probe(self.direct_commands.consecutive_unsent() > 0);
         self.fencing.record_seen(heartbeat.fencing_token);
         if heartbeat.addr != self.spec.addr {
             self.spec.addr.clone_from(&heartbeat.addr);
         }
     }
 
-    /// The worker's agent epoch and the heartbeat's place in it. Returns whether the epoch
-    /// known before has ended.
+    /// Records the worker's agent epoch and the heartbeat's position in it. Returns whether the
+    /// epoch known before has ended.
     fn reconcile_agent_epoch(&mut self, now: Micros, heartbeat: &Heartbeat) -> bool {
         let change = self.agent.advance(heartbeat);
         if change != EpochChange::Unchanged {
-            // Guards against ending what was started in an epoch by the age of a response in
-            // an earlier one: a machine whose heartbeats do not get through may well carry
-            // out direct commands, in epoch after epoch.
+            // Guards against taking the lease for expired, and attempts of the new epoch for
+            // ended, because the last response belongs to an earlier epoch. A machine whose
+            // heartbeats do not get through may still carry out direct commands, over any number
+            // of epochs.
             self.liveness.record_epoch_start(now);
         }
         let epoch_ended = change == EpochChange::Advanced;
         if epoch_ended {
-            // The worker has killed all it had, and drops commands for the old epoch,
-            // however late they arrive.
+            // The worker has stopped all of its attempts, and drops commands for the old epoch no
+            // matter when they arrive.
             self.fencing.discard_delayed_commands();
             self.images.clear();
         }
         epoch_ended
     }
 
-    /// The attempts that the heartbeat shows. Returns their keys.
+    /// Updates the attempts that the heartbeat shows and returns their keys.
     fn reconcile_reported(
         &mut self,
         now: Micros,
@@ -152,7 +159,7 @@
         reported
     }
 
-    /// The attempts that the heartbeat does not show: drops those that have surely ended.
+    /// Removes those attempts missing from the heartbeat that are guaranteed to have ended.
     fn reconcile_unreported(
         &mut self,
         reported: &BTreeSet<AttemptKey>,
@@ -166,8 +173,8 @@
                 return true;
             }
             let has_ended = match attempt.phase {
-                // No heartbeat has shown it: it may still arrive, so it stays, and is sent
-                // again, until the agent epoch ends or the worker has seen its fence.
+                // The launch may still arrive. The attempt stays, and its launch is sent again,
+                // until the agent epoch ends or the worker has seen the token that fences it.
                 AttemptPhase::Launching => epoch_ended || attempt.is_fenced_by(seen),
                 AttemptPhase::Exited => true,
                 _ => epoch_ended || no_command_in_transit,
@@ -180,14 +187,14 @@
     }
 }
 
-/// What a heartbeat changed in an attempt.
+/// The changes of an attempt that are reported as events.
 struct AttemptChange {
     has_started: bool,
     has_ended: bool,
 }
 
 impl Attempt {
-    /// Takes in what a heartbeat shows of it.
+    /// Updates the attempt from its status in a heartbeat.
     fn reconcile(&mut self, now: Micros, status: &TaskStatus) -> AttemptChange {
         let previous = std::mem::replace(&mut self.phase, status.phase);
         if previous != status.phase {
@@ -199,7 +206,7 @@
             self.running_since = Some(now);
         }
         if self.is_abandoned() && !self.has_exited() && !self.is_stopping() {
-            // It began after all, before the fence reached the worker.
+            // The abandoned launch reached the worker before the token that fences it did.
             self.request_stop(0.0);
         }
         AttemptChange {
--- a/src/workers/reconcile/tests.rs
+++ b/src/workers/reconcile/tests.rs
@@ -1,10 +1,14 @@
+//! Tests of the reconciliation of a machine with its worker's heartbeats.
+
 use crate::clock::Micros;
 use crate::ids::{FencingToken, Term};
 use crate::workers::tests::{heartbeat, launch, launch_count, machine};
 use crate::workers::{AttemptEvent, CommandRoute, Heartbeat};
 
+/// Guards against a task that runs twice: the launch of an abandoned attempt may still reach the
+/// worker until the worker has seen the raised fencing token.
 #[test]
-fn an_abandoned_launch_is_lost_only_behind_its_fence() {
+fn an_abandoned_launch_is_lost_only_once_the_worker_has_seen_its_fencing_token() {
     let mut machine = machine();
     let key = launch(&mut machine, "j-1/0", 7);
     let sent_token = machine.fencing_token();
@@ -22,6 +26,8 @@
     assert_eq!(events, vec![AttemptEvent::Lost(key)]);
 }
 
+/// Guards against attempts that are kept after the worker's lease expired and the worker stopped
+/// them, and against a delayed heartbeat of the old epoch that would show them again.
 #[test]
 fn a_new_agent_epoch_ends_all_attempts_of_the_old_one() {
     let mut machine = machine();
@@ -35,6 +41,7 @@
     );
 }
 
+/// Guards against commands to a machine on which attempts of an earlier owner may still start.
 #[test]
 fn an_unconfirmed_machine_gets_no_commands_until_it_shows_the_owners_token() {
     let mut machine = machine();
@@ -42,12 +49,13 @@
     launch(&mut machine, "j-1/0", 7);
     assert!(!machine.shows_term(&heartbeat("m", 4, 1, FencingToken::of(Term(2), 5), &[])));
     assert!(machine.commands(CommandRoute::Response).is_empty());
-    let counted = heartbeat("m", 4, 2, FencingToken::of(Term(3), 0), &[]);
-    assert!(machine.shows_term(&counted));
-    machine.reconcile(Micros(2), &counted);
+    let accepted = heartbeat("m", 4, 2, FencingToken::of(Term(3), 0), &[]);
+    assert!(machine.shows_term(&accepted));
+    machine.reconcile(Micros(2), &accepted);
     assert!(!machine.is_unconfirmed());
 }
 
+/// Guards against a malformed heartbeat that stops the controller or creates an attempt.
 #[test]
 fn malformed_heartbeats_are_rejected_or_change_nothing() {
     assert!(serde_json::from_str::<Heartbeat>(r#"{"rig":"m"}"#).is_err());
--- a/src/workers/release.rs
+++ b/src/workers/release.rs
@@ -1,52 +1,55 @@
-//! How far the release of a machine has got.
+//! The release of a machine from its partition.
+//!
+//! A machine is used only while it is active. A release whose result is unknown stays
+//! indeterminate until a later write commits or the machine's shard changes.
 
 use crate::ids::Revision;
 
-/// How far the release of a machine has got. It is used only while it is active.
+/// The state of a machine's release from its partition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ReleaseState {
-    /// The partition keeps it.
+    /// No release of the machine is in progress.
     #[default]
     Active,
-    /// The write that releases it is in flight.
+    /// The write that releases the machine is in flight.
     Requested {
-        /// The revision of its shard on which the write depends.
+        /// The revision of the machine's shard on which the write depends.
         revision: Revision,
     },
-    /// The write's result is unknown: it may have been, or may still be, carried out, until
-    /// the shard has changed.
+    /// The result of the write is unknown. Until the shard has changed, the write may have been
+    /// carried out or may still be carried out.
     Indeterminate {
-        /// The revision of its shard on which the write depends.
+        /// The revision of the machine's shard on which the write depends.
         revision: Revision,
     },
-    /// It is released.
+    /// The machine is released.
     Released,
 }
 
-/// The result of the write that releases machines.
+/// The result of a write that releases machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseOutcome {
     /// The write was carried out.
     Committed,
     /// The write was not carried out and never will be.
     Rejected,
-    /// The write may have been, or may still be, carried out.
+    /// The write may have been carried out, or may still be carried out.
     Indeterminate,
 }
 
 impl ReleaseState {
-    /// Whether the partition keeps the machine.
+    /// Whether the machine is in the partition and its release is not in progress.
     pub fn is_active(self) -> bool {
         self == ReleaseState::Active
     }
 
-    /// Whether the result of the write that releases it is unknown.
+    /// Whether the result of the write that releases the machine is unknown.
     pub fn is_indeterminate(self) -> bool {
         matches!(self, ReleaseState::Indeterminate { .. })
     }
 
-    /// A write that releases the machine is sent; it depends on this revision of the shard.
-    /// What an earlier write left unknown stays so.
+    /// Records that a write which releases the machine is sent. The write depends on this revision
+    /// of the shard. If the result of an earlier write is unknown, the state stays indeterminate.
     pub(super) fn request(&mut self, revision: Revision) {
         *self = match self {
             ReleaseState::Active | ReleaseState::Requested { .. } => {
@@ -57,13 +60,13 @@
         };
     }
 
-    /// The write that releases the machine has this result. What an earlier write left
-    /// unknown, a later rejection can't settle.
+    /// Records the result of the write that releases the machine. A rejection does not end an
+    /// indeterminate state, because an earlier write may still have been carried out.
     pub(super) fn record_outcome(&mut self, outcome: ReleaseOutcome) {
         *self = match (*self, outcome) {
-            // Its shard has changed since the write was sent, which has failed by itself.
-            // Guards against releasing a machine that is in use again: the write's result,
-            // or that there is none, may arrive later than the change.
+            // The shard has changed since the write was sent, so the write has failed.
+            // Guards against releasing a machine that is in use again: the result of the
+            // write, or the lack of one, may be reported after the change.
             (ReleaseState::Active, _) => ReleaseState::Active,
             (
                 ReleaseState::Requested { .. } | ReleaseState::Indeterminate { .. },
@@ -73,13 +76,13 @@
             (ReleaseState::Requested { revision }, ReleaseOutcome::Indeterminate) => {
                 ReleaseState::Indeterminate { revision }
             }
-            (unsettled @ ReleaseState::Indeterminate { .. }, _) => unsettled,
+            (unchanged @ ReleaseState::Indeterminate { .. }, _) => unchanged,
             (ReleaseState::Released, _) => ReleaseState::Released,
         };
     }
 
-    /// The machine's shard is at this revision: a write that depends on an earlier one fails
-    /// by itself.
+    /// Records the current revision of the machine's shard. A write that depends on an earlier
+    /// revision can no longer be carried out, so an indeterminate release is cancelled.
     pub(super) fn record_shard_revision(&mut self, current: Revision) {
         if let ReleaseState::Indeterminate { revision } = *self
             && current > revision
--- a/src/workers/release/tests.rs
+++ b/src/workers/release/tests.rs
@@ -1,3 +1,6 @@
+//! Tests of a machine's release. They guard against using a machine that is released, and against
+//! losing a machine whose release failed.
+
 use super::{ReleaseOutcome, ReleaseState};
 use crate::ids::Revision;
 
@@ -17,6 +20,8 @@
     assert!(rejected.is_active());
 }
 
+/// Guards against using a machine while an unanswered write may still release it, and against
+/// releasing it by an answer that arrives after its shard has changed.
 #[test]
 fn an_indeterminate_release_is_settled_only_by_a_commit_or_a_later_revision_of_the_shard() {
     let mut state = requested();
@@ -32,5 +37,8 @@
     state.record_shard_revision(Revision(10));
     assert!(state.is_active());
     state.record_outcome(ReleaseOutcome::Committed);
-    assert!(state.is_active(), "the write has failed by itself");
+    assert!(
+        state.is_active(),
+        "a write that depends on an earlier revision has failed"
+    );
 }
--- a/src/workers/schedulability.rs
+++ b/src/workers/schedulability.rs
@@ -1,31 +1,32 @@
-//! Whether a machine may be given tasks.
+//! Whether tasks may be launched on a machine, as far as the behaviour of the machine decides.
 
-/// Whether a machine may be given tasks, and why not.
+/// Whether tasks may be launched on a machine, and the reason if not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(super) enum Schedulability {
-    /// It may be given tasks.
+    /// Tasks may be launched on the machine.
     #[default]
     Open,
-    /// It is silent: it gets no tasks until a heartbeat of it counts again.
+    /// The machine is silent. No tasks are launched on it until one of its heartbeats is accepted
+    /// again.
     Cordoned,
-    /// Tasks of several jobs failed on it: it gets no tasks any more.
+    /// Tasks of several jobs failed on the machine. No more tasks are launched on it.
     Quarantined,
 }
 
 impl Schedulability {
-    /// Whether the machine may be given tasks.
+    /// Whether tasks may be launched on the machine.
     pub(super) fn is_open(self) -> bool {
         self == Schedulability::Open
     }
 
-    /// Cordons an open machine; a quarantine stays.
+    /// Cordons an open machine. A quarantined one stays quarantined.
     pub(super) fn cordon(&mut self) {
         if self.is_open() {
             *self = Schedulability::Cordoned;
         }
     }
 
-    /// Lifts a cordon; a quarantine stays.
+    /// Lifts a cordon. A quarantined machine stays quarantined.
     pub(super) fn uncordon(&mut self) {
         if *self == Schedulability::Cordoned {
             *self = Schedulability::Open;
--- a/src/workers/schedulability/tests.rs
+++ b/src/workers/schedulability/tests.rs
@@ -1,5 +1,8 @@
+//! Tests of the transitions between open, cordoned and quarantined machines.
+
 use super::Schedulability;
 
+/// Guards against a quarantine that is lifted by a heartbeat, and against a cordon that is not.
 #[test]
 fn a_cordon_is_lifted_and_a_quarantine_is_not() {
     let mut silent = Schedulability::Open;
--- a/src/workers/spec.rs
+++ b/src/workers/spec.rs
@@ -1,22 +1,22 @@
-//! What a machine is: the properties that its record and its machine type give it.
+//! The properties of a machine that are taken from its record and from its machine type.
 
 use crate::fairness::Resources;
 
-/// What a machine is, and where its worker takes commands.
+/// The properties of a machine, and the address of its worker.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct MachineSpec {
-    /// The name of its machine type.
+    /// The name of the machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// The machine's zone.
     pub zone: String,
-    /// Whether it is a spot instance, which the cloud may preempt.
+    /// Whether the machine is a spot instance, which the cloud may preempt.
     pub spot: bool,
-    /// All that tasks may use of it.
+    /// The resources that tasks may use on the machine.
     pub capacity: Resources,
-    /// The address at which its worker takes direct commands; empty: not known yet.
+    /// The address at which the worker takes direct commands; empty if it is not known yet.
     pub addr: String,
-    /// The shard of the partition's machine records that it is recorded in.
+    /// The shard of the partition's machine records that holds this machine's record.
     pub shard: u32,
-    /// How fast it fetches an image, in gigabytes per second.
+    /// Rate at which the machine fetches images, in gigabytes per second.
     pub image_fetch_gb_per_s: f64,
 }
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and machines for the tests of workers and of what uses them.
+//! Heartbeats and machines for the tests of this module and of the modules that use it.
 
 use super::{
     Attempt, AttemptKey, AttemptPhase, CommandRoute, Heartbeat, Machine, MachineSpec, WorkerCommand,
@@ -9,7 +9,8 @@
 use crate::jobs::tests::desc;
 use std::rc::Rc;
 
-/// A heartbeat that shows these tasks: task, attempt, phase and cause (empty: none).
+/// Creates a heartbeat. Each item of `tasks` is a task, its attempt, its phase and its exit cause;
+/// an empty cause stands for none.
 pub fn heartbeat(
     machine: &str,
     agent_epoch: u64,
@@ -31,7 +32,7 @@
     .expect("well formed")
 }
 
-/// A machine of 16 cores in term 3.
+/// Creates a machine with 16 cores and 64 GB of memory whose owner has term 3.
 pub fn machine() -> Machine {
     let spec = MachineSpec {
         machine_type: "big".into(),
@@ -42,19 +43,19 @@
     Machine::new(Micros(0), Term(3), spec)
 }
 
-/// Has an attempt of a task launched on a machine.
+/// Adds an attempt of a task to a machine, to be launched.
 pub fn launch(machine: &mut Machine, task: &str, attempt: u64) -> AttemptKey {
     let key = AttemptKey {
         task: TaskId::parse(task).expect("a task"),
         attempt: AttemptId(attempt),
     };
-    let job = Rc::new(desc("j-1", 4));
-    let attempt = Attempt::new(AttemptPhase::Launching, Micros(0), Some((0, &job)));
+    let job_desc = Rc::new(desc("j-1", 4));
+    let attempt = Attempt::new(AttemptPhase::Launching, Micros(0), Some((0, &job_desc)));
     machine.attempts.insert(key.clone(), attempt);
     key
 }
 
-/// How many launches the next response carries.
+/// Returns the number of launches in the next response.
 pub fn launch_count(machine: &mut Machine) -> usize {
     machine
         .commands(CommandRoute::Response)
