--- a/src/jobs/dependencies.rs
+++ b/src/jobs/dependencies.rs
@@ -1,12 +1,12 @@
-//! The dependency graph: which jobs have to be done before which, and whether they are.
+//! The dependency graph: which jobs depend on which other jobs, and whether those are done.
 //!
-//! Every controller keeps the graph of the live jobs, from its cache of the store. How a job
-//! ended is known from its ended record only: that its live record was deleted says nothing,
-//! since that happens to done and to cancelled jobs alike. An end that is not known counts
-//! as not done.
+//! Every controller keeps the graph of the live jobs from its cache of the store. Only the ended
+//! record of a job says how the job ended. A deleted live record does not, because the live records
+//! of done and of cancelled jobs are both deleted. As long as the end of a job is not known, the
+//! job counts as not done.
 //!
-//! A job is accepted after all that it names, so the graph has no cycles. Walks are
-//! iterative all the same and visit each job once.
+//! A job is accepted only after all of its dependencies, so the graph has no cycles. Traversals are
+//! iterative, because chains of jobs may be long, and visit each job once.
 
 use super::{EndedRecord, JobDesc, JobRecord, JobState, Priority};
 use crate::clock::Micros;
@@ -15,28 +15,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Live jobs, as the cache of the store has them.
+/// The live jobs in the cache of the store.
 pub type LiveJobs = BTreeMap<JobId, Versioned<Rc<JobRecord>>>;
 
-/// How a job ended that others depend on.
+/// The end of a job on which other jobs depend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobEnd {
-    /// Every task is done.
+    /// Every task of the job is done.
     Done(DoneAt),
-    /// It was cancelled, and will never be done.
+    /// The job was cancelled and will never be done.
     Cancelled,
 }
 
-/// When a job was done, or the last one of several.
+/// The time at which a job, or the last one of several jobs, was done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DoneAt {
-    /// The wall-clock time; none: an earlier version did not record it.
+    /// Wall-clock time; `None` if there is no job or if an earlier version did not record it.
     pub wall_clock: Option<Micros>,
-    /// The store's revision.
+    /// Revision of the store; 0 if there is no job.
     pub revision: Revision,
 }
 
 impl DoneAt {
+    /// Returns the later wall-clock time and the higher revision of both.
     fn latest(self, other: DoneAt) -> DoneAt {
         DoneAt {
             wall_clock: self.wall_clock.max(other.wall_clock),
@@ -46,12 +47,12 @@
 }
 
 impl JobEnd {
-    /// The end that a record of this revision says.
+    /// Returns the end that an ended record of this revision states.
     pub fn of(record: &EndedRecord, revision: Revision) -> JobEnd {
         JobEnd::new(record.state, record.ended_at, revision)
     }
 
-    /// An end that was stored at this revision.
+    /// Returns the end of a job with this final state, stored at this revision.
     pub fn new(state: JobState, wall_clock: Option<Micros>, revision: Revision) -> JobEnd {
         match state {
             JobState::Done => JobEnd::Done(DoneAt {
@@ -63,65 +64,65 @@
     }
 }
 
-/// Whether a job may start, as far as its dependencies decide that.
+/// Whether the dependencies of a job allow the job to start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Readiness {
-    /// All its dependencies are done, the last one then.
+    /// All dependencies are done. The time is that of the last one.
     Ready(DoneAt),
-    /// This dependency, at least, is not known to be done.
+    /// At least this dependency is not known to be done.
     Waiting(JobId),
-    /// A dependency was cancelled, and so is the job.
+    /// A dependency was cancelled, which cancels the job, too.
     Cancelled,
 }
 
-/// What a job inherits from those that depend on it.
+/// The priority and deadline that a job inherits from the jobs that depend on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Inherited {
-    /// The highest priority of all that depend on it.
+    /// The highest priority of all jobs that depend on the job.
     pub priority: Priority,
-    /// The wall-clock time by which it must be done so that all that depend on it can keep
-    /// their deadlines; none: none of them has one.
+    /// Wall-clock time by which the job must be done so that all jobs that depend on it can meet
+    /// their deadlines; `None` if none of them has one.
     pub deadline: Option<Micros>,
 }
 
-/// The read of an ended record.
+/// The state of the read of an ended record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EndRead {
-    /// It is to be sent, but not before then.
+    /// The read is to be sent, but not before this instant.
     DueAt(Micros),
-    /// It was sent and not answered yet.
+    /// The read was sent and has not been answered yet.
     InFlight,
 }
 
-/// Reads of ended records in flight at once: after a failover many may be due.
+/// Maximum number of reads of ended records in flight. After a failover many reads may be due.
 const MAX_READS_IN_FLIGHT: usize = 8;
-/// Between a read without an answer and its retry.
+/// Time after which a failed or unanswered read is retried.
 const READ_RETRY_INTERVAL: Micros = Micros::from_millis(500);
-/// What a job takes between the end of its dependencies and its own first start, in seconds,
-/// besides what its owner estimates: two writes, a heartbeat, and the fetch of its image.
+/// Seconds between the end of a job's dependencies and the job's first start, which add to the
+/// user's estimate of the run time. They cover two writes, a heartbeat, and the fetch of the image.
 const STAGE_OVERHEAD_S: f64 = 2.0;
 
-/// The live jobs that depend on others, and what is known of those.
+/// The live jobs that have dependencies, and the known ends of these dependencies.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
     /// The dependencies of each live job that has any.
     dependencies: BTreeMap<JobId, Vec<JobId>>,
     /// The live jobs that depend on each job.
     dependents: BTreeMap<JobId, BTreeSet<JobId>>,
-    /// How dependencies ended.
+    /// The known ends of dependencies.
     ends: BTreeMap<JobId, JobEnd>,
-    /// Live jobs behind a cancelled one.
+    /// Live jobs that depend, directly or not, on a cancelled job.
     cancelled: BTreeSet<JobId>,
-    /// Dependencies that ended, it is not known how.
+    /// Dependencies that have ended, but whose ended records have not been read yet.
     unread: BTreeMap<JobId, EndRead>,
-    /// What jobs inherit from their dependents.
+    /// The priority and deadline that each job inherits from its dependents.
     inherited: BTreeMap<JobId, Inherited>,
-    /// Something changed since the last refresh.
+    /// Whether the graph has changed since the last refresh.
     has_changed: bool,
 }
 
 impl DependencyGraph {
-    /// All live jobs were read anew.
+    /// Updates the graph after all live jobs were read again.
     pub fn reload(&mut self, now: Micros, live: &LiveJobs) {
         let known = self.dependencies.keys().chain(self.dependents.keys());
         let with_dependencies = live
@@ -134,7 +135,7 @@
         }
     }
 
-    /// A job was accepted, or ended.
+    /// Updates the graph after a job was accepted or ended.
     pub fn reconcile_job(&mut self, now: Micros, id: &JobId, live: &LiveJobs) {
         match live.get(id) {
             Some(Versioned { record, .. }) => self.add(now, id, &record.desc, live),
@@ -142,6 +143,7 @@
         }
     }
 
+    /// Adds a live job, unless the graph has it already or it has no dependencies.
     fn add(&mut self, now: Micros, id: &JobId, desc: &JobDesc, live: &LiveJobs) {
         if desc.dependencies.is_empty() || self.dependencies.contains_key(id) {
             return;
@@ -164,6 +166,7 @@
         }
     }
 
+    /// Removes a job that has ended. If other jobs depend on it, requests the read of its end.
     fn remove(&mut self, now: Micros, id: &JobId) {
         for dependency in self.dependencies.remove(id).unwrap_or_default() {
             self.has_changed = true;
@@ -184,13 +187,14 @@
         }
     }
 
+    /// Requests the read of a job's ended record, unless its end is known.
     fn request_end(&mut self, now: Micros, id: &JobId) {
         if !self.ends.contains_key(id) {
             self.unread.entry(id.clone()).or_insert(EndRead::DueAt(now));
         }
     }
 
-    /// The job, and all that depend on it, will never be done.
+    /// Marks a job, and all jobs that depend on it directly or not, as cancelled.
     fn cancel(&mut self, id: JobId) {
         let mut next = vec![id];
         while let Some(id) = next.pop() {
@@ -201,9 +205,9 @@
         }
     }
 
-    /// Records that the store has this end of a job. Only the store's answers count here, to
-    /// a read or to the write itself; guards against a start on the claim of a heartbeat or
-    /// of a peer.
+    /// Records the end of a job that the store has confirmed by its answer to a read or to the
+    /// write itself. Ends from other sources must not be recorded. Guards against starting a job
+    /// because a heartbeat or a peer claims that its dependencies are done.
     pub fn record_end(&mut self, id: &JobId, end: JobEnd) {
         let Some(dependents) = self.dependents.get(id) else {
             return;
@@ -219,7 +223,8 @@
         }
     }
 
-    /// The jobs whose ended records are to be read now, a bounded number at a time.
+    /// Returns the jobs whose ended records are to be read now, and marks their reads as in flight.
+    /// At most `MAX_READS_IN_FLIGHT` reads are in flight.
     pub fn take_end_reads(&mut self, now: Micros) -> Vec<JobId> {
         let is_in_flight = |read: &&EndRead| **read == EndRead::InFlight;
         let in_flight = self.unread.values().filter(is_in_flight).count();
@@ -235,7 +240,8 @@
             .collect()
     }
 
-    /// Takes the answer to the read of a job's ended record.
+    /// Handles the answer to the read of a job's ended record. Retries the read if the answer does
+    /// not contain a readable record.
     pub fn handle_end_read(&mut self, now: Micros, id: &JobId, reply: &Reply) {
         let Reply::Value(row) = reply else {
             self.retry_read(now, id);
@@ -244,20 +250,21 @@
         match EndedRecord::read(row) {
             Ok(record) => self.record_end(id, JobEnd::of(&record, row.revision)),
             Err(error) => {
-                // Whatever it says, it does not say done: nothing that depends on it starts.
+                // The job does not count as done, so no job that depends on it starts.
                 tracing::error!(job = %id, %error, "ended record unreadable");
                 self.retry_read(now, id);
             }
         }
     }
 
+    /// Schedules the retry of a read.
     fn retry_read(&mut self, now: Micros, id: &JobId) {
         if let Some(read) = self.unread.get_mut(id) {
             *read = EndRead::DueAt(now + READ_RETRY_INTERVAL);
         }
     }
 
-    /// Whether a live job may start.
+    /// Returns whether the dependencies of a live job allow it to start.
     pub fn readiness(&self, id: &JobId) -> Readiness {
         if self.cancelled.contains(id) {
             return Readiness::Cancelled;
@@ -272,8 +279,8 @@
         Readiness::Ready(latest)
     }
 
-    /// Whether a job before it, directly or not, was cancelled; none: the ended record of one
-    /// is still to be read.
+    /// Whether a direct or indirect dependency of the job was cancelled; `None` if this is not
+    /// known because the ended record of one is still to be read.
     pub fn is_cancelled(&self, id: &JobId) -> Option<bool> {
         if self.cancelled.contains(id) {
             return Some(true);
@@ -296,26 +303,27 @@
         Some(false)
     }
 
-    /// What the job inherits from those that depend on it.
+    /// Returns what the job inherits from the jobs that depend on it; `None` if there are none.
     pub fn inherited(&self, id: &JobId) -> Option<Inherited> {
         self.inherited.get(id).copied()
     }
 
-    /// Whether anything changed since the last refresh. If so, what jobs inherit is computed
-    /// anew.
+    /// Computes again what jobs inherit, if the graph has changed since the last refresh. Returns
+    /// whether it has changed.
     pub fn refresh(&mut self, live: &LiveJobs) -> bool {
         if !std::mem::take(&mut self.has_changed) {
             return false;
         }
-        self.inherited = self.inherit(live);
+        self.inherited = self.compute_inherited(live);
         true
     }
 
-    /// From the last jobs of each pipeline to the first ones, each job once.
-    fn inherit(&self, live: &LiveJobs) -> BTreeMap<JobId, Inherited> {
+    /// Returns what each job inherits. Visits the jobs in reverse topological order: each job once,
+    /// after all jobs that depend on it.
+    fn compute_inherited(&self, live: &LiveJobs) -> BTreeMap<JobId, Inherited> {
         let mut inherited: BTreeMap<JobId, Inherited> = BTreeMap::new();
         let dependent_count = |id: &JobId| self.dependents.get(id).map_or(0, BTreeSet::len);
-        let mut unvisited: BTreeMap<&JobId, usize> = BTreeMap::new();
+        let mut unvisited_dependents: BTreeMap<&JobId, usize> = BTreeMap::new();
         let mut next: Vec<&JobId> = self
             .dependencies
             .keys()
@@ -327,11 +335,11 @@
                 .filter(|_| !self.cancelled.contains(id))
                 .map(|Versioned { record, .. }| passed_on(record, inherited.get(id)));
             for dependency in self.dependencies.get(id).into_iter().flatten() {
-                let left = unvisited
+                let remaining = unvisited_dependents
                     .entry(dependency)
                     .or_insert_with(|| dependent_count(dependency));
-                *left -= 1;
-                if *left == 0 {
+                *remaining -= 1;
+                if *remaining == 0 {
                     next.push(dependency);
                 }
                 if let Some(passed) = passed.filter(|_| live.contains_key(dependency)) {
@@ -347,6 +355,7 @@
 }
 
 impl Inherited {
+    /// Returns the higher priority and the earlier deadline of both.
     fn join(self, other: Inherited) -> Inherited {
         Inherited {
             priority: self.priority.max(other.priority),
@@ -355,8 +364,9 @@
     }
 }
 
-/// What a job passes on to its dependencies: its own priority and deadline, joined with what
-/// it inherits itself, and the deadline less what the job takes.
+/// Returns what a job passes on to its dependencies: the higher of its own and its inherited
+/// priority, and the earlier of its own and its inherited deadline, less the time that the job
+/// takes.
 fn passed_on(record: &JobRecord, inherited: Option<&Inherited>) -> Inherited {
     let desc = &record.desc;
     let own = Inherited {
--- a/src/jobs/dependencies/tests.rs
+++ b/src/jobs/dependencies/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the dependency graph.
+
 use super::super::tests::{desc, rec};
 use super::*;
 use crate::ids::Term;
@@ -7,7 +9,7 @@
     Micros::from_secs(seconds)
 }
 
-/// As the records of these tests say.
+/// The time in an ended record of these tests, at revision 9.
 fn done_at(seconds: f64) -> DoneAt {
     DoneAt {
         wall_clock: Some(secs(seconds)),
@@ -15,7 +17,7 @@
     }
 }
 
-/// Live jobs, each with its dependencies.
+/// Live jobs, each given by its id and its dependencies.
 fn live(jobs: &[(&str, &[&str])]) -> LiveJobs {
     let job = |(id, dependencies): &(&str, &[&str])| {
         let mut record = rec(id, 1, Term(1));
@@ -33,17 +35,20 @@
     jobs.iter().map(job).collect()
 }
 
+/// A graph of these live jobs.
 fn graph(live: &LiveJobs) -> DependencyGraph {
     let mut graph = DependencyGraph::default();
     graph.reload(secs(1.0), live);
     graph
 }
 
+/// Removes a job from the live jobs, as a watch does after the job's end.
 fn end_job(graph: &mut DependencyGraph, live: &mut LiveJobs, id: &str) {
     live.remove(&JobId::from(id));
     graph.reconcile_job(secs(2.0), &id.into(), live);
 }
 
+/// The store's answer to the read of an ended record.
 fn ended(state: JobState, ended_at: Option<Micros>) -> Reply {
     let record = EndedRecord {
         state,
@@ -58,6 +63,8 @@
     })
 }
 
+/// Guards against starting a job because the live record of its dependency was deleted: the
+/// dependency may have been cancelled.
 #[test]
 fn deleted_job_counts_as_done_only_once_its_ended_record_is_read() {
     let mut jobs = live(&[("j-1", &[]), ("j-2", &["j-1"])]);
@@ -68,16 +75,16 @@
     assert_eq!(
         graph.readiness(&"j-2".into()),
         waiting,
-        "deleted is not done"
+        "a deleted live record does not show that the job is done"
     );
     assert_eq!(graph.is_cancelled(&"j-2".into()), None);
     assert_eq!(graph.take_end_reads(secs(2.0)), vec![JobId::from("j-1")]);
     assert_eq!(
         graph.take_end_reads(secs(2.0)),
         vec![],
-        "one read at a time"
+        "the read is in flight already"
     );
-    // No answer, no record, and one that can't be read say nothing.
+    // A missing answer, a missing record and an unreadable record leave the end unknown.
     let broken = Reply::Value(KeyValue {
         key: "ended/j-1".into(),
         value: serde_json::json!({"standing": "over"}),
@@ -93,7 +100,7 @@
         assert_eq!(
             graph.take_end_reads(secs(at + 0.1)),
             vec![],
-            "not retried at once"
+            "the read was retried before its interval had passed"
         );
         assert_eq!(
             graph.take_end_reads(secs(at + 0.6)),
@@ -107,9 +114,11 @@
     assert_eq!(graph.is_cancelled(&"j-2".into()), Some(false));
 }
 
+/// Guards against jobs that wait forever for a cancelled job, or are cancelled with a job on which
+/// they do not depend.
 #[test]
 fn cancellation_reaches_all_dependents_and_no_other_job() {
-    // A diamond, one that only shares its first job, and one before them all.
+    // j-1 to j-4 form a diamond. j-5 shares only the first job with it.
     let mut jobs = live(&[
         ("j-1", &[]),
         ("j-2", &["j-1"]),
@@ -124,7 +133,7 @@
     assert_eq!(
         cancelled(&graph),
         [Some(false), Some(false), None, Some(false)],
-        "only dependents of the unknown one are unknown"
+        "only jobs that depend on the job with the unread end are unknown"
     );
     graph.handle_end_read(secs(3.0), &"j-2".into(), &ended(JobState::Cancelled, None));
     assert_eq!(
@@ -132,7 +141,8 @@
         [Some(false), Some(false), Some(true), Some(false)]
     );
     assert_eq!(graph.readiness(&"j-4".into()), Readiness::Cancelled);
-    // Accepted after the cancellation, as a dependent directly or behind another.
+    // Jobs that are accepted after the cancellation, with a direct or an indirect dependency on a
+    // cancelled job.
     let late = live(&[("j-6", &["j-4"]), ("j-7", &["j-6"]), ("j-8", &["j-3"])]);
     jobs.extend(late);
     graph.reload(secs(4.0), &jobs);
@@ -140,6 +150,7 @@
     assert_eq!(cancelled, [Some(true), Some(true), Some(false)]);
 }
 
+/// Guards against a graph that grows with every job that ever ended.
 #[test]
 fn nothing_is_kept_of_jobs_without_live_dependents() {
     let mut jobs = live(&[("j-1", &[]), ("j-2", &["j-1"]), ("j-3", &["j-2"])]);
@@ -151,10 +162,12 @@
         end_job(&mut graph, &mut jobs, id);
     }
     graph.refresh(&jobs);
-    let left = format!("{graph:?}");
-    assert_eq!(left, format!("{:?}", DependencyGraph::default()));
+    let remaining = format!("{graph:?}");
+    assert_eq!(remaining, format!("{:?}", DependencyGraph::default()));
 }
 
+/// Guards against an urgent job that starts late because the jobs on which it depends are served as
+/// less urgent.
 #[test]
 fn priority_and_deadline_are_inherited_by_all_dependencies() {
     let mut jobs = live(&[
@@ -179,7 +192,7 @@
         (middle.priority, middle.deadline),
         (Priority::High, Some(deadline))
     );
-    // The middle one takes 10 s, as its owner estimates.
+    // The middle job takes 10 s, by the user's estimate.
     let first = graph.inherited(&"j-1".into()).expect("something");
     let deadline = Micros(deadline.0 - secs(10.0 + STAGE_OVERHEAD_S).0);
     assert_eq!(
@@ -188,7 +201,7 @@
     );
     assert_eq!(graph.inherited(&"j-3".into()), None);
     assert_eq!(graph.inherited(&"j-4".into()), None);
-    // Ended, it passes on nothing any more.
+    // An ended job passes nothing on to its dependencies.
     end_job(&mut graph, &mut jobs, "j-3");
     assert!(graph.refresh(&jobs));
     assert_eq!(graph.inherited(&"j-2".into()), None);
@@ -196,7 +209,7 @@
     assert_eq!((first.priority, first.deadline), (Priority::Idle, None));
 }
 
-/// Guards against recursive walks, which run out of stack.
+/// Guards against recursive traversals, which overflow the stack on long chains of jobs.
 #[test]
 fn chain_of_thousands_of_jobs_is_walked_iteratively() {
     let count = 20_000;
@@ -225,6 +238,7 @@
     assert_eq!(graph.is_cancelled(&last), Some(true));
 }
 
+/// Guards against a flood of reads after a failover, when the ends of many jobs are unknown.
 #[test]
 fn reads_of_ended_records_in_flight_are_bounded() {
     let names: Vec<String> = (0..50).map(|number| format!("j-{number}")).collect();
@@ -242,15 +256,15 @@
         },
     )]);
     let mut graph = graph(&jobs);
-    let mut read = 0;
+    let mut read_count = 0;
     while graph.readiness(&"j-99".into()) != Readiness::Ready(done_at(1.0)) {
         let ids = graph.take_end_reads(secs(2.0));
         assert!(!ids.is_empty() && ids.len() <= MAX_READS_IN_FLIGHT);
-        read += ids.len();
+        read_count += ids.len();
         for id in ids {
             let done = ended(JobState::Done, Some(secs(1.0)));
             graph.handle_end_read(secs(2.0), &id, &done);
         }
     }
-    assert_eq!(read, 50, "each once");
+    assert_eq!(read_count, 50, "a record was not read exactly once");
 }
--- a/src/jobs/dependency_state.rs
+++ b/src/jobs/dependency_state.rs
@@ -1,24 +1,31 @@
-//! What a job's owner knows of the jobs before and behind it.
+//! What a job's owner knows of the jobs on which the job depends and of those that depend on it.
 
 use super::dependencies::{Inherited, Readiness};
 use crate::clock::Micros;
 use crate::ids::Revision;
 
-/// Whether a job's dependencies are done, and what it inherits from the jobs that depend
-/// on it.
+/// Whether a job's dependencies are done, and what the job inherits from the jobs that depend on
+/// it.
 #[derive(Debug)]
 pub(super) struct DependencyState {
+    /// Wall-clock time at which the job was accepted.
     accepted_at: Micros,
+    /// Wall-clock time from which the job's waiting time is measured.
     eligible_since: Micros,
+    /// Whether all dependencies are known to be done.
     all_done: bool,
-    /// The store's revision at which the last dependency was done.
+    /// The store's revision at which the last dependency was done; 0 if it is not known or if
+    /// there are no dependencies.
     done_revision: Revision,
+    /// Whether a dependency was cancelled.
     has_cancelled: bool,
+    /// What the job inherits from the jobs that depend on it; `None` if there are none.
     inherited: Option<Inherited>,
 }
 
 impl DependencyState {
-    /// Nothing is known yet: only a job without dependencies is ready.
+    /// Creates the state of a job of whose dependencies nothing is known yet. The job is ready
+    /// only if it has no dependencies.
     pub(super) fn new(accepted_at: Micros, has_dependencies: bool) -> DependencyState {
         DependencyState {
             accepted_at,
@@ -30,7 +37,8 @@
         }
     }
 
-    /// Records what the dependency graph says, and returns whether that changed anything.
+    /// Records the job's readiness according to the dependency graph. Returns whether the job
+    /// became ready, ceased to be ready, or became cancelled.
     pub(super) fn set_readiness(&mut self, readiness: &Readiness) -> bool {
         let before = (self.all_done, self.has_cancelled);
         match readiness {
@@ -46,33 +54,35 @@
         before != (self.all_done, self.has_cancelled)
     }
 
-    /// Records what the job inherits, and returns whether that changed.
+    /// Records what the job inherits from the jobs that depend on it. Returns whether that
+    /// changed.
     pub(super) fn set_inherited(&mut self, inherited: Option<Inherited>) -> bool {
         std::mem::replace(&mut self.inherited, inherited) != inherited
     }
 
-    /// What the job inherits from the jobs that depend on it.
+    /// Returns what the job inherits from the jobs that depend on it; `None` if there are none.
     pub(super) fn inherited(&self) -> Option<Inherited> {
         self.inherited
     }
 
-    /// Wall-clock time from which its waiting counts: when it was accepted, or when its last
-    /// dependency was done.
+    /// Returns the wall-clock time from which the job's waiting time is measured: when the job was
+    /// accepted or when its last dependency was done, whichever is later.
     pub(super) fn eligible_since(&self) -> Micros {
         self.eligible_since
     }
 
-    /// Whether all dependencies are known to be done.
+    /// Whether all dependencies are known to be done and none was cancelled.
     pub(super) fn is_ready(&self) -> bool {
         self.all_done && !self.has_cancelled
     }
 
-    /// Whether a dependency was cancelled, and the job with it.
+    /// Whether a dependency was cancelled, which cancels the job, too.
     pub(super) fn has_cancelled(&self) -> bool {
         self.has_cancelled
     }
 
-    /// The store's revision at which the last dependency was done; 0: none had to be.
+    /// Returns the store's revision at which the last dependency was done; 0 if it is not known
+    /// or if there are no dependencies.
     pub(super) fn done_revision(&self) -> Revision {
         self.done_revision
     }
--- a/src/jobs/description.rs
+++ b/src/jobs/description.rs
@@ -1,5 +1,5 @@
-//! What users submit: a job's description. Its fields keep their names on the wire by
-//! `serde(rename)`, here and nowhere else.
+//! The description of a job, as users submit it. The names that its fields have on the wire are
+//! defined here by `serde(rename)`.
 
 use super::Footprint;
 use crate::fairness::Resources;
@@ -9,97 +9,97 @@
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A job has no more tasks.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// A job's priority; a higher one may preempt a lower one.
+/// A job's priority. A job may preempt jobs of lower priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Runs in what is left.
+    /// The lowest priority, for work that uses leftover capacity.
     Idle,
-    /// The usual one.
+    /// The normal priority.
     Standard,
-    /// Above the usual one.
+    /// A priority above the normal one.
     High,
-    /// Above all others.
+    /// The highest priority.
     Production,
 }
 
-/// How a job's tasks belong together.
+/// The kind of a job, which says how its tasks relate to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobKind {
-    /// Independent tasks.
+    /// An array of independent tasks.
     #[serde(rename = "sweep")]
     Array,
-    /// Runs until it is cancelled (see docs/questions.md).
+    /// A service: its tasks run at the same time, until it is cancelled (see docs/questions.md).
     Service,
 }
 
-/// A job as its user describes it: one field for each of the submission.
+/// A job as its user describes it, with one field for each field of the submission.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobDesc {
     /// The job's id, chosen by its user.
     pub id: JobId,
-    /// The class that it belongs to.
+    /// The class of the job, which may have a start-latency objective in the settings.
     #[serde(rename = "lot")]
     pub class: String,
-    /// The team whose guaranteed quota and limit apply.
+    /// The team whose guaranteed quota and limit apply to the job.
     #[serde(rename = "crew")]
     pub team: String,
-    /// How its tasks belong together.
+    /// The kind of the job.
     #[serde(rename = "form")]
     pub kind: JobKind,
-    /// Its priority.
+    /// The job's priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// How many tasks it has.
+    /// Number of tasks of the job.
     #[serde(rename = "hands")]
     pub tasks: u32,
-    /// Cores that a task takes.
+    /// Cores that each task requests.
     pub cores: f64,
-    /// Accelerators that a task takes.
+    /// Accelerators that each task requests.
     #[serde(rename = "cards")]
     pub gpus: f64,
-    /// Memory that a task takes, in GB.
+    /// Memory that each task requests, in GB.
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
-    /// The image that a task needs.
+    /// Name of the image that each task needs.
     #[serde(rename = "deck")]
     pub image: String,
     /// The size of the image, in GB.
     #[serde(rename = "sizeGb")]
     pub image_gb: f64,
-    /// The machine types that it allows; none: any.
+    /// The machine types on which the job may run; `None` allows any.
     #[serde(default)]
     #[serde(rename = "builds")]
     pub machine_types: Option<Vec<String>>,
-    /// The only zone that it allows; none: any.
+    /// The only zone in which the job may run; `None` allows any.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
-    /// All tasks must be in the same zone.
+    /// Whether all tasks must be in the same zone.
     #[serde(rename = "oneZone")]
     pub single_zone: bool,
-    /// At most half of the tasks may be in one zone.
+    /// Whether at most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "apart")]
     pub anti_affinity: bool,
-    /// It may use spot machines, which the cloud may reclaim.
+    /// Whether the job may use spot machines, which the cloud may preempt.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time, in seconds.
+    /// The user's estimate of a task's run time, in seconds.
     #[serde(rename = "reckonS")]
     pub estimated_run_time_s: f64,
-    /// A task writes a checkpoint each so many seconds; 0: never.
+    /// Interval at which a task writes checkpoints, in seconds; 0 if it writes none.
     #[serde(rename = "markS")]
     pub checkpoint_interval_s: f64,
-    /// What a task needs to write a checkpoint when it is stopped, in seconds.
+    /// Time that a task needs to write a checkpoint when it is stopped, in seconds.
     #[serde(rename = "stowS")]
     pub checkpoint_duration_s: f64,
-    /// The deadline, in seconds from its submission.
+    /// The deadline, in seconds from the submission; `None` if there is no deadline.
     #[serde(rename = "dueS", default)]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts, each once.
+    /// Jobs that have to be done before any task of this job starts, without duplicates.
     #[serde(
         rename = "hinges",
         default,
@@ -109,14 +109,15 @@
     pub dependencies: Vec<JobId>,
 }
 
-/// A list of well-formed job ids, each kept once; null is the empty list.
+/// Parses a list of job ids and removes duplicates; null stands for the empty list. Returns an
+/// error if an id is not well formed.
 fn job_ids<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<JobId>, D::Error> {
     let named: Vec<JobId> = Option::deserialize(from)?.unwrap_or_default();
     let mut seen = BTreeSet::new();
     let mut ids = Vec::new();
     for id in named {
         if !id.is_well_formed() {
-            return Err(D::Error::custom(format!("{id} is no job id")));
+            return Err(D::Error::custom(format!("{id} is not a job id")));
         }
         if seen.insert(id.clone()) {
             ids.push(id);
@@ -125,12 +126,12 @@
     Ok(ids)
 }
 
-/// A hash of an image's name. Two names that share one only make a machine seem a
-/// little better suited than it is.
+/// A hash of an image's name. A collision of two names is harmless: it only makes a machine seem
+/// to have an image and thus be better suited for a task than it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ImageKey(u64);
 
-/// Whether a list of allowed machine types has this one; no list allows any.
+/// Whether a list of allowed machine types contains this one; `None` allows any.
 pub fn allows_machine_type(allowed: &Option<Vec<String>>, machine_type: &str) -> bool {
     allowed
         .as_ref()
@@ -138,12 +139,12 @@
 }
 
 impl JobDesc {
-    /// What a task requests.
+    /// Returns the resources that each task requests.
     pub fn request(&self) -> Resources {
         Resources::new(self.cores, self.gpus, self.memory_gb)
     }
 
-    /// What is kept of it after its end.
+    /// Returns the part of the description that is kept after the job's end.
     pub fn footprint(&self) -> Footprint {
         Footprint {
             team: self.team.clone(),
@@ -151,14 +152,15 @@
         }
     }
 
-    /// A hash of its image's name.
+    /// Returns the hash of the image's name.
     pub fn image_key(&self) -> ImageKey {
         let mut hasher = DefaultHasher::new();
         self.image.hash(&mut hasher);
         ImageKey(hasher.finish())
     }
 
-    /// Whether it allows a machine of this type and zone, spot or not.
+    /// Whether the job may run on a machine of this type and zone. `spot` says whether the machine
+    /// is a spot machine.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|allowed| allowed == zone)
--- a/src/jobs/failure_backoff.rs
+++ b/src/jobs/failure_backoff.rs
@@ -1,66 +1,71 @@
-//! How a job that fails on several machines is slowed down.
+//! Back-off of jobs that fail on several machines.
 
 use crate::clock::Micros;
 use crate::ids::MachineId;
 use std::collections::BTreeSet;
 
-/// A job that failed on so many machines, without a success in between, is itself at fault.
+/// Number of machines on which a job must fail, without a success in between, for the failures to
+/// be attributed to the job instead of the machines.
 const FAILING_MACHINES: usize = 3;
-/// Tasks of a failing job that are tried after each back-off.
+/// Number of tasks of a failing job that may be started after each back-off.
 const PROBE_TASKS: u32 = 3;
-/// The back-off of a failing job doubles with each failure, from twice this up to
-/// `2^MAX_BACKOFF_DOUBLINGS` times this.
+/// Base of the back-off of a failing job. The back-off is `BACKOFF_BASE * 2^failures`, with at
+/// most [`MAX_BACKOFF_DOUBLINGS`] doublings.
 const BACKOFF_BASE: Micros = Micros::from_millis(1_000);
+/// Maximum number of times that the back-off of a failing job is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
-/// The failures of a job since one of its tasks last succeeded, and the wait that follows
-/// from them.
+/// The failures of a job since one of its tasks last succeeded, and the resulting back-off.
 #[derive(Debug, Default)]
 pub(super) struct FailureBackoff {
+    /// Number of failures since a task last succeeded.
     failures: u32,
+    /// The machines on which these failures happened.
     failed_on: BTreeSet<MachineId>,
+    /// Instant before which no task of the job is started.
     not_before: Micros,
 }
 
 impl FailureBackoff {
-    /// An attempt failed on this machine.
+    /// Records that an attempt failed on a machine.
     pub(super) fn record_failure(&mut self, machine: MachineId) {
         self.failures += 1;
         self.failed_on.insert(machine);
     }
 
-    /// A task succeeded: whatever failed before, it is not the job.
+    /// Removes all failures and the back-off, because a task succeeded, so that the job is not
+    /// the cause of the failures.
     pub(super) fn clear(&mut self) {
         *self = FailureBackoff::default();
     }
 
-    /// Starts the next wait, the longer the more failures there were.
+    /// Starts the next back-off. Its duration grows with the number of failures.
     pub(super) fn back_off(&mut self, now: Micros) {
         let doublings = self.failures.min(MAX_BACKOFF_DOUBLINGS);
         self.not_before = now + Micros(BACKOFF_BASE.0 << doublings);
     }
 
-    /// Whether the job is at fault, and not the machines.
+    /// Whether the failures are attributed to the job instead of the machines.
     pub(super) fn is_failing(&self) -> bool {
         self.failed_on.len() >= FAILING_MACHINES
     }
 
-    /// How many tasks may be started at once while the job is failing.
+    /// Returns the number of tasks that may be started at once while the job is failing.
     pub(super) const fn probe_tasks() -> u32 {
         PROBE_TASKS
     }
 
-    /// Failures in a row.
+    /// Returns the number of failures since a task last succeeded.
     pub(super) fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// The machines that it failed on.
+    /// Returns the machines on which the job failed since a task last succeeded.
     pub(super) fn failed_on(&self) -> &BTreeSet<MachineId> {
         &self.failed_on
     }
 
-    /// No task starts before then.
+    /// Returns the instant before which no task of the job is started.
     pub(super) fn not_before(&self) -> Micros {
         self.not_before
     }
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -1,4 +1,4 @@
-//! A live job as the owner of its partition holds it.
+//! The state that a partition's owner keeps of a live job.
 
 use super::dependencies::{Inherited, Readiness};
 use super::dependency_state::DependencyState;
@@ -15,42 +15,46 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Mutations of a job's end besides those that delete its pages: its live record goes, and
-/// its ended record comes.
+/// Number of mutations that a job's end needs besides those that delete its progress records: one
+/// deletes the live record and one creates the ended record.
 const END_MUTATIONS: usize = 2;
 
-/// A job in its owner's hands.
+/// The state that a partition's owner keeps of a live job.
 #[derive(Debug)]
 pub struct Job {
-    /// What its user submitted, narrowed by the operators' policy.
+    /// The description that the user submitted, restricted by the operators' policy.
     pub desc: Rc<JobDesc>,
-    /// The index of its team in the settings.
+    /// Index of the job's team in the settings.
     pub team: usize,
-    /// Wall-clock time at which it was accepted.
+    /// Wall-clock time at which the job was accepted.
     pub accepted_at: Micros,
-    /// The term of its team's partition then.
+    /// The term of the team's partition when the job was accepted.
     pub accepted_term: Term,
-    /// Of its record, which never changes while the job lives.
+    /// Revision of the job's record, which never changes while the job lives.
     pub revision: Revision,
-    /// Wall-clock time at which a task of it last started, as far as is known here.
+    /// Wall-clock time at which a task of the job last started, as far as this owner knows. Until
+    /// then it is the time at which the job was accepted or became ready.
     pub last_start_at: Micros,
-    /// Within what time its tasks should start, where an objective says so.
+    /// Time within which the job's tasks should start; `None` if the job's class has no such
+    /// objective.
     pub start_latency_objective: Option<Micros>,
-    /// What the operators' policy decides about it.
+    /// The decisions of the operators' policy about the job.
     pub(super) policy_choice: PolicyChoice,
-    /// Whether its user allows spot machines, whatever the policy says now.
+    /// Whether the user allows spot machines, regardless of the policy.
     user_allows_spot: bool,
     pub(super) dependency_state: DependencyState,
     pub(super) tasks: TaskStates,
     progress: ProgressPages,
     write_state: WriteState,
     failure_backoff: FailureBackoff,
-    /// Its end is stored; it stays here until the watch reports that too.
+    /// Whether the job's end is stored, or the job was cancelled. The job is kept until the watch
+    /// reports that.
     is_ended: bool,
 }
 
 impl Job {
-    /// A job of which nothing has been done, as far as is known.
+    /// Creates the state of a job of which no progress is known. `team` is the index of its team in
+    /// the settings.
     pub fn new(record: &JobRecord, revision: Revision, team: usize, tasks_per_page: u32) -> Job {
         let desc = &record.desc;
         let has_dependencies = !desc.dependencies.is_empty();
@@ -73,12 +77,13 @@
         }
     }
 
-    /// Its end is stored, or it was cancelled: nothing more of it starts.
+    /// Records that the job's end is stored or that the job was cancelled. None of its tasks is
+    /// started any more.
     pub fn mark_ended(&mut self) {
         self.is_ended = true;
     }
 
-    /// Whether its end is stored.
+    /// Whether the job's end is stored or the job was cancelled.
     pub fn is_ended(&self) -> bool {
         self.is_ended
     }
@@ -86,7 +91,7 @@
 
 /// Policy.
 impl Job {
-    /// Applies the operators' choice. It can only narrow what the job allows.
+    /// Applies the decisions of the operators' policy. They can only restrict what the user allows.
     pub fn apply_policy(&mut self, choice: PolicyChoice) {
         self.policy_choice = choice;
         if self.desc.spot && !choice.spot {
@@ -94,7 +99,7 @@
         }
     }
 
-    /// What the operators' policy decides about it.
+    /// Returns the decisions of the operators' policy about the job.
     pub fn policy_choice(&self) -> PolicyChoice {
         self.policy_choice
     }
@@ -102,7 +107,8 @@
 
 /// Dependencies.
 impl Job {
-    /// Records whether the jobs before it are done, and returns whether that changed.
+    /// Records whether the job's dependencies are done. Returns whether the job became ready,
+    /// ceased to be ready, or became cancelled.
     pub fn set_readiness(&mut self, readiness: &Readiness) -> bool {
         let changed = self.dependency_state.set_readiness(readiness);
         if matches!(readiness, Readiness::Ready(_)) {
@@ -111,37 +117,39 @@
         changed
     }
 
-    /// Records what it has from the jobs that depend on it, and returns whether that changed.
+    /// Records what the job inherits from the jobs that depend on it. Returns whether that changed.
     pub fn set_inherited(&mut self, inherited: Option<Inherited>) -> bool {
         self.dependency_state.set_inherited(inherited)
     }
 
-    /// Whether jobs that depend on it have a deadline.
+    /// Whether a job that depends on this one, directly or not, has a deadline.
     pub fn has_inherited_deadline(&self) -> bool {
         let inherited = self.dependency_state.inherited();
         inherited.is_some_and(|inherited| inherited.deadline.is_some())
     }
 
-    /// Whether all jobs before it are known to be done.
+    /// Whether all dependencies of the job are known to be done and none was cancelled.
     pub fn is_ready(&self) -> bool {
         self.dependency_state.is_ready()
     }
 
-    /// Wall-clock time from which its waiting counts: when it was accepted, or when the last
-    /// job before it was done.
+    /// Returns the wall-clock time from which the job's waiting time is measured: when the job was
+    /// accepted or when its last dependency was done, whichever is later.
     pub fn eligible_since(&self) -> Micros {
         self.dependency_state.eligible_since()
     }
 
-    /// Whether an owner whose successor was granted the partition at `term` and
-    /// `grant_revision` can have started it: not if it was accepted after that, nor if the
-    /// jobs before it were done only then, since that owner's lease had expired.
+    /// Whether an earlier owner can have started the job, if the partition was granted to its
+    /// successor at `term` and `grant_revision`. This is impossible if the job was accepted in
+    /// `term` or later, or if its dependencies were done only after the grant, because the earlier
+    /// owner's lease had expired by then.
     pub fn may_have_begun_before(&self, term: Term, grant_revision: Revision) -> bool {
         self.accepted_term < term && self.dependency_state.done_revision() <= grant_revision
     }
 
-    /// Whether an earlier owner can have started it on such a machine. It may have had
-    /// another policy.
+    /// Whether an earlier owner can have started the job on a machine of this type and zone. The
+    /// earlier owner may have had a policy that allowed spot machines, so only the user's
+    /// restriction of spot machines is applied.
     pub fn may_have_been_on(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (self.user_allows_spot || !spot)
             && self.desc.allows(machine_type, zone, spot && self.desc.spot)
@@ -150,17 +158,17 @@
 
 /// Tasks.
 impl Job {
-    /// Finished tasks.
+    /// Returns the finished tasks.
     pub fn done(&self) -> &RangeSet {
         self.tasks.done()
     }
 
-    /// Tasks that are neither done nor on a machine.
+    /// Returns the tasks that are neither done nor on a machine.
     pub fn waiting(&self) -> &RangeSet {
         self.tasks.waiting()
     }
 
-    /// The machine of each task that is on one.
+    /// Returns the machine of each task that is on one.
     pub fn active(&self) -> &BTreeMap<u32, MachineId> {
         self.tasks.active()
     }
@@ -170,24 +178,25 @@
         self.tasks.is_all_done()
     }
 
-    /// Whether it wants machines for tasks of it. Guards against a job that starts before
-    /// its dependencies are done, and that takes capacity, scale-outs or its place in the
-    /// order before then.
+    /// Whether the job has tasks that may be placed on machines now. Guards against a job that
+    /// starts, takes capacity, causes scale-outs or takes a place in the queue before its
+    /// dependencies are done.
     pub fn wants_machines(&self) -> bool {
         !self.is_ended && self.is_ready() && !self.waiting().is_empty()
     }
 
-    /// A task is being started on a machine.
+    /// Records that a task is being started on a machine.
     pub fn start(&mut self, index: u32, machine: MachineId) {
         self.tasks.start(index, machine);
     }
 
-    /// A heartbeat has shown a task running.
+    /// Records that a heartbeat has shown a task running.
     pub fn mark_running(&mut self, index: u32) {
         self.tasks.mark_running(index);
     }
 
-    /// Records a finished task; false if it was known.
+    /// Records that a task finished. Returns `false` if the task was done already or if the job has
+    /// no such task.
     pub fn finish(&mut self, index: u32) -> bool {
         let is_new = self.tasks.finish(index);
         if is_new {
@@ -196,7 +205,8 @@
         is_new
     }
 
-    /// The attempt ended without a result: the task waits again.
+    /// Records that the attempt of a task ended without a result. The task waits again, unless it
+    /// is done.
     pub fn requeue(&mut self, index: u32) {
         self.tasks.requeue(index);
     }
@@ -204,40 +214,42 @@
 
 /// Failures.
 impl Job {
-    /// An attempt of it failed on this machine.
+    /// Records that an attempt of the job failed on a machine.
     pub fn record_failure(&mut self, machine: MachineId) {
         self.failure_backoff.record_failure(machine);
     }
 
-    /// A task of it succeeded: whatever failed before, it is not the job.
+    /// Removes all failures, because a task of the job succeeded, so that the job is not the cause
+    /// of the failures.
     pub fn clear_failures(&mut self) {
         self.failure_backoff.clear();
     }
 
-    /// Its failures are due to the job and not to machines: it failed on several, and nothing
-    /// of it has succeeded since.
+    /// Whether the job's failures are attributed to the job instead of the machines: it failed on
+    /// several machines, and none of its tasks has succeeded since.
     pub fn is_failing(&self) -> bool {
         !self.is_ended && self.failure_backoff.is_failing()
     }
 
-    /// A failing job waits before it is tried again, the longer the more it has failed.
+    /// Starts a back-off, during which no task of the job is started. Its duration grows with the
+    /// number of failures.
     pub fn back_off(&mut self, now: Micros) {
         self.failure_backoff.back_off(now);
     }
 
-    /// Where it failed since a task of it last succeeded.
+    /// Returns the machines on which the job failed since one of its tasks last succeeded.
     pub fn failed_on(&self) -> &BTreeSet<MachineId> {
         self.failure_backoff.failed_on()
     }
 
-    /// Nothing of it starts before then.
+    /// Returns the instant before which no task of the job is started.
     pub fn not_before(&self) -> Micros {
         self.failure_backoff.not_before()
     }
 
-    /// How many of its waiting tasks may be started at once. Guards against a job that
-    /// was submitted with a mistake and starts all of its tasks again after every
-    /// back-off: they used so many idle machines that none was ever released.
+    /// Returns the number of waiting tasks that may be started at once. A failing job has a low
+    /// limit. Guards against a job that was submitted with a mistake and starts all of its tasks
+    /// again after every back-off: they used so many idle machines that none was ever released.
     pub fn startable(&self) -> u32 {
         if self.is_failing() {
             FailureBackoff::probe_tasks()
@@ -246,7 +258,8 @@
         }
     }
 
-    /// What its tasks that failed would hold.
+    /// Returns the total request of the tasks that failed and wait again: one task for each
+    /// failure, but no more than are waiting.
     pub fn failing_resources(&self) -> Resources {
         let tasks = self.failure_backoff.failures().min(self.waiting().len());
         self.desc.request().scale(f64::from(tasks))
@@ -255,12 +268,13 @@
 
 /// Records in the key-value store.
 impl Job {
-    /// Nothing of it is recorded in larger values than this.
+    /// Limits the size of the job's progress records, in bytes of JSON.
     pub fn limit_value_bytes(&mut self, max: usize) {
         self.progress.limit_value_bytes(max);
     }
 
-    /// Restores what an earlier owner recorded. Its pages need not be cut as ours are.
+    /// Restores a progress record of an earlier owner, which may have divided the tasks into pages
+    /// of another size.
     pub fn restore_progress(&mut self, number: u32, revision: Revision, record: &ProgressRecord) {
         for (start, end) in &record.done {
             self.tasks.restore_done(*start..*end);
@@ -269,48 +283,49 @@
         self.progress.set_revision(number, revision);
     }
 
-    /// A progress record has this revision now, as our write's answer or the watch says.
+    /// Records the revision of a progress record, as the answer to a write or the watch reports it.
     pub fn set_page_revision(&mut self, number: u32, revision: Revision) {
         self.progress.set_revision(number, revision);
     }
 
-    /// These progress records were not written, or may not have been.
+    /// Records that these progress records were not written or may not have been written, so that
+    /// they are written again.
     pub fn mark_unwritten(&mut self, numbers: &[u32]) {
         self.progress.mark_unwritten(numbers);
     }
 
-    /// Whether the page of this task is still to be recorded, and not being written.
+    /// Whether the page of a task has changed and is not being written.
     pub fn is_dirty(&self, index: u32) -> bool {
         self.progress.is_task_dirty(index)
     }
 
-    /// A write about it is sent.
+    /// Records that a write of the job's records is sent.
     pub fn begin_write(&mut self) {
         self.write_state.begin();
     }
 
-    /// The write about it was answered, or its answer is given up.
+    /// Records that the write was answered, or that no answer to it is expected any more.
     pub fn finish_write(&mut self) {
         self.write_state.finish();
     }
 
-    /// Nothing about it is written before then.
+    /// Forbids writes of the job's records before this instant.
     pub fn delay_writes_until(&mut self, at: Micros) {
         self.write_state.delay_until(at);
     }
 
-    /// Nothing about it is written before then.
+    /// Returns the instant before which none of the job's records is written.
     pub fn next_write_at(&self) -> Micros {
         self.write_state.not_before()
     }
 
-    /// Whether a write about it may be sent now: none is in flight, and the gap since the last
-    /// one has passed.
+    /// Whether a write of the job's records may be sent now: none is in flight, and the interval
+    /// since the last one has passed.
     pub fn may_write(&self, now: Micros) -> bool {
         self.write_state.may_write(now)
     }
 
-    /// Whether there is something to write, and it may be written now.
+    /// Whether there is progress or an end to write, and a write may be sent now.
     pub fn wants_write(&self, now: Micros) -> bool {
         !self.is_ended && self.may_write(now) && (self.is_terminal() || self.has_new_progress())
     }
@@ -319,13 +334,14 @@
         self.progress.has_dirty() || self.progress.running_changed(self.tasks.running_count())
     }
 
-    /// All that may be written is whether a task of it runs, which users are shown and
-    /// nothing depends on.
+    /// Whether nothing has to be written except, possibly, whether a task of the job is running.
+    /// That is only shown to users, and nothing else depends on it.
     pub fn has_only_display_changes(&self) -> bool {
         !self.is_terminal() && !self.progress.has_dirty()
     }
 
-    /// Progress since the last write, in at most `max_records` records.
+    /// Creates the transaction that stores the progress since the last write, in at most
+    /// `max_records` records.
     pub fn progress_transaction(
         &mut self,
         owner: &Label,
@@ -339,8 +355,8 @@
         };
         for write in self.progress.take_writes(&self.tasks, owner, max_records) {
             let key = keys::progress_page(id, write.number);
-            // A late write of ours must not undo a later one: each page has its revision.
-            let unchanged = Compare::new(key.clone(), write.replaces);
+            // A delayed write of this owner must not overwrite a later one.
+            let unchanged = Compare::new(key.clone(), write.replaced_revision);
             transaction.compares.push(unchanged);
             transaction
                 .mutations
@@ -350,12 +366,12 @@
         transaction
     }
 
-    /// Whether its end is to be stored: every task is done, or a job before it was cancelled.
+    /// Whether the job's end is to be stored: every task is done, or a dependency was cancelled.
     pub fn is_terminal(&self) -> bool {
         self.dependency_state.has_cancelled() || self.all_done()
     }
 
-    /// The state that it ends in.
+    /// Returns the state in which the job ends. Valid only if the job is terminal.
     pub fn terminal_state(&self) -> JobState {
         if self.dependency_state.has_cancelled() {
             JobState::Cancelled
@@ -364,8 +380,9 @@
         }
     }
 
-    /// The job's end, in one compare-and-swap of at most `max_mutations`. Pages that are left
-    /// over are garbage, which the leader collects.
+    /// Creates the compare-and-swap transaction that stores the job's end, with at most
+    /// `max_mutations` mutations, and returns its compares and mutations. Progress records for
+    /// whose deletion there is no room are collected as garbage by the leader.
     pub fn end_transaction(
         &self,
         wall_clock: Micros,
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,9 +1,9 @@
-//! Jobs: what users submit, what is recorded, and which state each task is in.
+//! Jobs: their descriptions, their records, and the states of their tasks.
 //!
-//! Owns the description of a job and its checks, the job's records in the key-value store,
-//! the state that a partition's owner keeps of a live job, the order of jobs inside a team,
-//! and the dependency graph. It knows nothing of machines but their ids, and must never
-//! decide where a task runs.
+//! This module defines the description of a job and the checks of a submission, the job's records
+//! in the key-value store, the state that the owner of a partition keeps of each live job, the
+//! order of jobs inside a team, and the dependency graph. It uses no data of machines except
+//! their ids, and must not decide where a task runs.
 
 pub mod dependencies;
 mod dependency_state;
--- a/src/jobs/policy_choice.rs
+++ b/src/jobs/policy_choice.rs
@@ -1,15 +1,16 @@
-//! What the operators' policy decides about one job. The policy module computes it; jobs
-//! only carry it, so that this module does not import the policy.
+//! The decisions of the operators' policy about one job. The policy module makes them, and a
+//! [`Job`](super::Job) stores them, so that this module need not import the policy.
 
-/// What the policy decides about one job.
+/// The decisions of the operators' policy about one job.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PolicyChoice {
-    /// How much it counts among jobs of its priority; a job of twice the weight is as urgent
-    /// as one with half the work left.
+    /// Weight of the job among jobs of the same priority. Doubling the weight makes a job as
+    /// urgent as halving its remaining work.
     pub weight: f64,
-    /// Which part of the capacity that it lacks is requested by the autoscaler.
+    /// Factor applied to the number of waiting tasks for which capacity is requested from the
+    /// autoscaler; 0 requests none, and 1 leaves the number unchanged.
     pub scale_out_factor: f64,
-    /// Whether it may use spot machines.
+    /// Whether the job may use spot machines.
     pub spot: bool,
 }
 
--- a/src/jobs/progress_pages.rs
+++ b/src/jobs/progress_pages.rs
@@ -1,5 +1,8 @@
-//! How a job's finished tasks are recorded in the key-value store: in pages of tasks, each
-//! of one record, or of several where one value can't hold it.
+//! The records of a job's finished tasks in the key-value store.
+//!
+//! The tasks are divided into pages. Each page is stored as one record, or as several where it does
+//! not fit into one value. Every record is written on the condition that its revision is the last
+//! known one.
 
 use super::records::ProgressRecord;
 use super::task_states::TaskStates;
@@ -8,66 +11,73 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
-/// A page covers at most this many tasks.
+/// Maximum number of tasks that a page covers.
 const MAX_TASKS_PER_PAGE: u32 = 1024;
-/// A page covers at least this many tasks.
+/// Minimum number of tasks that a page covers.
 const MIN_TASKS_PER_PAGE: u32 = 8;
-/// What a range may take as JSON, with room for the rest of its record.
-const RANGE_BYTES: f64 = 40.0;
-/// What a record takes besides its ranges.
-const RECORD_BYTES: usize = 128;
-/// What a range takes besides its digits.
+/// Bytes of JSON that are reserved for each range of a page, including its share of the other
+/// fields of the record.
+const RESERVED_BYTES_PER_RANGE: f64 = 40.0;
+/// Bytes of JSON that are reserved in a record for all fields besides the ranges.
+const RECORD_OVERHEAD_BYTES: usize = 128;
+/// Bytes of JSON that a range takes besides its digits: two brackets and two commas.
 const RANGE_PUNCTUATION_BYTES: usize = 4;
-/// Further records that each page may be split into where it does not fit into one value.
-const PARTS_PER_PAGE: u32 = 64;
+/// Record numbers that are reserved for each page's parts after the first one, for pages that do
+/// not fit into one value.
+const EXTRA_PARTS_PER_PAGE: u32 = 64;
 
-/// How many tasks a page covers for a value limit in KiB: even the worst pattern, every
-/// other task finished, stays below what a value may hold.
+/// Returns the number of tasks that a page covers for a value limit in KiB. It is low enough that
+/// a page fits into one value even in the worst pattern, in which every other task is finished.
 pub fn tasks_per_page(value_kb: f64) -> u32 {
-    let ranges = value_kb * 1024.0 / RANGE_BYTES;
+    let ranges = value_kb * 1024.0 / RESERVED_BYTES_PER_RANGE;
     ((2.0 * ranges) as u32).clamp(MIN_TASKS_PER_PAGE, MAX_TASKS_PER_PAGE)
 }
 
-/// A compare-and-swap that records progress.
+/// A compare-and-swap transaction that stores a job's progress.
 #[derive(Debug)]
 pub struct ProgressTransaction {
-    /// The job is live, and nobody else wrote its pages meanwhile.
+    /// Conditions: the job is live, and each record still has its last known revision.
     pub compares: Vec<Compare>,
-    /// The records.
+    /// Mutations that write the records.
     pub mutations: Vec<Mutation>,
-    /// The number of each record, in the order of the mutations.
+    /// Number of each record, in the order of the mutations.
     pub record_numbers: Vec<u32>,
 }
 
-/// A record that is to be written, and the revision that it replaces.
+/// A record that is to be written.
 #[derive(Debug)]
 pub(super) struct PageWrite {
+    /// Number of the record.
     pub(super) number: u32,
-    pub(super) replaces: Revision,
+    /// Revision of the record that is replaced; 0 if there is none.
+    pub(super) replaced_revision: Revision,
+    /// The new record.
     pub(super) record: ProgressRecord,
 }
 
-/// Which pages of a job's progress are recorded, at which revision, and which have changed
-/// since.
+/// The stored records of a job's progress with their revisions, and the pages that have changed
+/// since they were written.
 #[derive(Debug)]
 pub(super) struct ProgressPages {
+    /// Number of tasks that each page covers.
     tasks_per_page: u32,
+    /// Number of pages of the job.
     page_count: u32,
-    /// No record is larger than this, as JSON.
+    /// Maximum size of a record in bytes of JSON.
     max_value_bytes: usize,
-    /// By the number of the record.
+    /// Last known revision of each stored record, by the number of the record.
     revisions: BTreeMap<u32, Revision>,
     /// Pages that changed and are not being written.
     dirty: BTreeSet<u32>,
-    /// The page after the last one that was written. Guards against pages that are never
-    /// written while lower ones go on changing.
+    /// The page from which the search for the next dirty page starts: the one after the last page
+    /// written. Guards against pages that are never written because lower ones keep changing.
     next_page: u32,
-    /// Whether the job was last recorded as running.
+    /// Whether the job was running according to the last record.
     recorded_running: bool,
 }
 
 impl ProgressPages {
-    /// Nothing is recorded.
+    /// Creates the pages of a job with this number of tasks, of which nothing is stored yet.
     pub(super) fn new(tasks: u32, tasks_per_page: u32) -> ProgressPages {
         ProgressPages {
             tasks_per_page,
@@ -80,53 +90,57 @@
         }
     }
 
+    /// Limits the size of each record, in bytes of JSON.
     pub(super) fn limit_value_bytes(&mut self, max: usize) {
         self.max_value_bytes = max;
     }
 
-    /// Numbers of all records, in ascending order.
+    /// Returns the numbers of all stored records, in ascending order.
     pub(super) fn record_numbers(&self) -> impl Iterator<Item = u32> + '_ {
         self.revisions.keys().copied()
     }
 
-    /// A record has this revision now, or a later one.
+    /// Records the revision of a stored record, unless a later one is known.
     pub(super) fn set_revision(&mut self, number: u32, revision: Revision) {
         let known = self.revisions.entry(number).or_default();
         *known = revision.max(*known);
     }
 
-    /// An earlier owner recorded whether the job runs.
+    /// Restores from one of the records whether the job was running when an earlier owner wrote
+    /// it.
     pub(super) fn restore_running(&mut self, running: bool) {
         self.recorded_running |= running;
     }
 
-    /// The task is finished, and its page is to be written.
+    /// Records that a task has finished, so that its page is to be written.
     pub(super) fn mark_task_dirty(&mut self, index: u32) {
         self.dirty.insert(index / self.tasks_per_page);
     }
 
-    /// Whether the page of this task is to be written, and not being written.
+    /// Whether the page of a task has changed and is not being written.
     pub(super) fn is_task_dirty(&self, index: u32) -> bool {
         self.dirty.contains(&(index / self.tasks_per_page))
     }
 
-    /// These records were not written, or may not have been.
+    /// Marks the pages of these records as dirty, because the records were not written or may not
+    /// have been written.
     pub(super) fn mark_unwritten(&mut self, numbers: &[u32]) {
         let pages: Vec<u32> = numbers.iter().map(|number| self.page_of(*number)).collect();
         self.dirty.extend(pages);
     }
 
-    /// Whether a page changed since it was written.
+    /// Whether a page has changed and is not being written.
     pub(super) fn has_dirty(&self) -> bool {
         !self.dirty.is_empty()
     }
 
-    /// Whether the job began or ceased to run since that was recorded.
+    /// Whether the last record has become wrong about whether the job is running.
     pub(super) fn running_changed(&self, running_count: u32) -> bool {
         self.recorded_running != (running_count > 0)
     }
 
-    /// The records to be written next, at most `max_records`, which no longer count as dirty.
+    /// Returns the records to be written next, at most `max_records`. Their pages are no longer
+    /// marked as dirty, except a page of which only some records fit.
     pub(super) fn take_writes(
         &mut self,
         tasks: &TaskStates,
@@ -153,7 +167,8 @@
             let is_partial = records.len() > max_records;
             writes.extend(records.into_iter().take(max_records));
             if is_partial {
-                // The rest comes with the next write; until then no attempt of it is reaped.
+                // The remaining records follow with the next write. No attempt of a dirty page is
+                // reaped.
                 self.dirty.insert(page);
                 break;
             }
@@ -161,10 +176,11 @@
         writes
     }
 
-    /// The records of a page: one, or more where it does not fit into a value.
-    /// Guards against a page that an earlier version wrote under a higher limit, and that
-    /// could never be written again. The further ones have numbers beyond those of all
-    /// pages: readers of every version join what all records say.
+    /// Returns the records of a page: one, or several if the page does not fit into one value.
+    ///
+    /// Guards against a page that could never be written again, because an earlier version wrote it
+    /// under a higher value limit. The additional records have numbers above those of all pages.
+    /// Readers of every version merge all records of a job, so they need not know of the parts.
     fn page_records(&self, page: u32, tasks: &TaskStates, owner: &Label) -> Vec<PageWrite> {
         let page_tasks = page * self.tasks_per_page..(page + 1) * self.tasks_per_page;
         let parts = self.split_into_values(tasks.done().slice(page_tasks));
@@ -173,7 +189,7 @@
             let is_first = page == 0 && part == 0;
             PageWrite {
                 number,
-                replaces: self.revisions.get(&number).copied().unwrap_or_default(),
+                replaced_revision: self.revisions.get(&number).copied().unwrap_or_default(),
                 record: ProgressRecord {
                     owner: Some(owner.clone()),
                     done,
@@ -184,9 +200,9 @@
         (0..).zip(parts).map(page_write).collect()
     }
 
-    /// The ranges in parts that fit into one value each; at least one part.
+    /// Divides ranges into parts that fit into one value each. Returns at least one part.
     fn split_into_values(&self, ranges: Vec<Range<u32>>) -> Vec<Vec<(u32, u32)>> {
-        let max_bytes = self.max_value_bytes.saturating_sub(RECORD_BYTES);
+        let max_bytes = self.max_value_bytes.saturating_sub(RECORD_OVERHEAD_BYTES);
         let mut parts = Vec::new();
         let (mut part, mut part_bytes) = (Vec::new(), 0);
         for range in ranges {
@@ -202,23 +218,24 @@
         parts
     }
 
-    /// The number under which a part of a page is recorded.
+    /// Returns the record number of a part of a page.
     fn record_number(&self, page: u32, part: u32) -> u32 {
         match part {
             0 => page,
-            _ => self.page_count + page * PARTS_PER_PAGE + part - 1,
+            _ => self.page_count + page * EXTRA_PARTS_PER_PAGE + part - 1,
         }
     }
 
-    /// The page that a record is a part of.
+    /// Returns the page to which a record belongs.
     fn page_of(&self, number: u32) -> u32 {
         match number.checked_sub(self.page_count) {
-            Some(further) => further / PARTS_PER_PAGE,
+            Some(extra_part) => extra_part / EXTRA_PARTS_PER_PAGE,
             None => number,
         }
     }
 
-    /// The next dirty page in turn.
+    /// Removes the mark of the next dirty page and returns the page. Pages take turns in ascending
+    /// order, starting over after the last one. Returns `None` if no page is dirty.
     fn take_dirty_page(&mut self) -> Option<u32> {
         let next = self.dirty.range(self.next_page..).next();
         let page = *next.or(self.dirty.first())?;
@@ -228,7 +245,7 @@
     }
 }
 
-/// How many decimal digits a number has.
+/// Returns the number of decimal digits of a number.
 fn digit_count(number: u32) -> usize {
     number.checked_ilog10().unwrap_or(0) as usize + 1
 }
--- a/src/jobs/ranges.rs
+++ b/src/jobs/ranges.rs
@@ -1,9 +1,9 @@
-//! Sets of task indexes as compact ranges: a job may have 100,000 tasks.
+//! Sets of task indexes, stored compactly as ranges because a job may have 100,000 tasks.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// A set of task indexes, held as disjoint half-open ranges that don't touch each other.
+/// A set of task indexes, stored as disjoint half-open ranges. Adjacent ranges are merged.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RangeSet {
     /// The end of each range, by its start.
@@ -12,47 +12,48 @@
 }
 
 impl RangeSet {
-    /// All from 0 to below `count`.
+    /// Creates the set of all indexes from 0 up to, but not including, `count`.
     pub fn full(count: u32) -> Self {
         let mut set = RangeSet::default();
         set.insert_range(0..count);
         set
     }
 
-    /// How many indexes are in it.
+    /// Returns the number of indexes in the set.
     pub fn len(&self) -> u32 {
         self.len
     }
 
-    /// Whether no index is in it.
+    /// Whether the set has no index.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Whether an index is in it.
+    /// Whether the set has an index.
     pub fn contains(&self, index: u32) -> bool {
         self.range_at(index).is_some_and(|range| index < range.end)
     }
 
-    /// The lowest index.
+    /// Returns the lowest index, or `None` if the set is empty.
     pub fn first(&self) -> Option<u32> {
         self.ends.first_key_value().map(|(&start, _)| start)
     }
 
-    /// The index that comes `position` places after the lowest one.
+    /// Returns the index at `position` in ascending order, counted from 0, or `None` if the set
+    /// has no more than `position` indexes.
     pub fn nth(&self, position: u32) -> Option<u32> {
-        let mut left = position;
+        let mut offset = position;
         for range in self.ranges() {
             let length = range.end - range.start;
-            if left < length {
-                return Some(range.start + left);
+            if offset < length {
+                return Some(range.start + offset);
             }
-            left -= length;
+            offset -= length;
         }
         None
     }
 
-    /// Adds an index; false if it was there.
+    /// Adds an index. Returns whether it was added; `false` means that the set had it already.
     pub fn insert(&mut self, index: u32) -> bool {
         if self.contains(index) {
             return false;
@@ -61,7 +62,7 @@
         true
     }
 
-    /// Adds all indexes of a range, which may be empty or overlap others.
+    /// Adds all indexes of a range. The range may be empty and may overlap ranges of the set.
     pub fn insert_range(&mut self, range: Range<u32>) {
         if range.is_empty() {
             return;
@@ -76,7 +77,8 @@
         self.len += end - start;
     }
 
-    /// Takes an index out; false if it was not there.
+    /// Removes an index. Returns whether it was removed; `false` means that the set did not have
+    /// it.
     pub fn remove(&mut self, index: u32) -> bool {
         let Some(range) = self.range_at(index).filter(|range| index < range.end) else {
             return false;
@@ -87,12 +89,12 @@
         true
     }
 
-    /// Its ranges, in ascending order.
+    /// Returns the ranges of the set in ascending order.
     pub fn ranges(&self) -> impl Iterator<Item = Range<u32>> + '_ {
         self.ends.iter().map(|(&start, &end)| start..end)
     }
 
-    /// The part of the set that lies in `window`.
+    /// Returns the ranges of the part of the set that lies in `window`, in ascending order.
     pub fn slice(&self, window: Range<u32>) -> Vec<Range<u32>> {
         self.ranges()
             .map(|range| range.start.max(window.start)..range.end.min(window.end))
@@ -100,7 +102,7 @@
             .collect()
     }
 
-    /// The last range that starts at or before an index.
+    /// Returns the last range that starts at or before an index.
     fn range_at(&self, index: u32) -> Option<Range<u32>> {
         let (&start, &end) = self.ends.range(..=index).next_back()?;
         Some(start..end)
--- a/src/jobs/ranges/tests.rs
+++ b/src/jobs/ranges/tests.rs
@@ -1,3 +1,6 @@
+//! Tests of sets of task indexes. They guard against lost or duplicated indexes when ranges are
+//! merged and split.
+
 use super::*;
 
 #[test]
--- a/src/jobs/submission_checks.rs
+++ b/src/jobs/submission_checks.rs
@@ -1,4 +1,4 @@
-//! What a submission is checked for: that it is well formed, and that it can run here.
+//! Checks of a submission: whether it is well formed, and whether the job can run on this cluster.
 
 use super::{JobDesc, JobKind, MAX_TASKS, MalformedJob, UnsatisfiableJob};
 use crate::cloud::MachineType;
@@ -6,13 +6,14 @@
 use crate::settings::Settings;
 use std::collections::BTreeSet;
 
-/// What a record takes besides the description in it.
-const RECORD_BYTES: usize = 256;
-/// What a job's id takes in a list besides its characters.
+/// Bytes of JSON that are reserved in a job's record for all fields besides its description.
+const RECORD_OVERHEAD_BYTES: usize = 256;
+/// Bytes of JSON that a job id takes in a list besides its characters: two quotes and a comma.
 const ID_PUNCTUATION_BYTES: usize = 3;
 
 impl JobDesc {
-    /// Reads a submission. Whatever is missing or invalid makes it malformed.
+    /// Parses the JSON body of a submission. Returns an error if a field is missing or invalid;
+    /// fields that are not known are ignored.
     pub fn parse(body: &[u8]) -> Result<JobDesc, MalformedJob> {
         let value: serde_json::Value =
             serde_json::from_slice(body).map_err(MalformedJob::NotJson)?;
@@ -24,7 +25,7 @@
         Ok(desc)
     }
 
-    /// Checks what the types of the fields don't.
+    /// Checks the requirements that the types of the fields don't express.
     fn check_fields(&self) -> Result<(), MalformedJob> {
         if !self.id.is_well_formed() {
             return Err(MalformedJob::InvalidId);
@@ -65,11 +66,11 @@
         Ok(())
     }
 
-    /// Whether its record fits into one value, now and under the coming limits: a record is
-    /// written once and never split.
+    /// Checks that the job's record fits into one value of the key-value store, under the current
+    /// limit and under the next one. A job's record is written once and never split.
     pub(crate) fn recordable(&self, settings: &Settings) -> Result<(), UnsatisfiableJob> {
         let max_value_bytes = settings.platform.state.lowest_value_bytes();
-        let max_bytes = max_value_bytes.saturating_sub(RECORD_BYTES);
+        let max_bytes = max_value_bytes.saturating_sub(RECORD_OVERHEAD_BYTES);
         let bytes = serde_json::to_string(self).map_or(0, |json| json.len());
         if bytes <= max_bytes {
             return Ok(());
@@ -79,15 +80,16 @@
         let other_bytes = bytes - dependency_bytes;
         let named = self.dependencies.len();
         match max_bytes.checked_sub(other_bytes) {
-            Some(left_bytes) if named > 0 => Err(UnsatisfiableJob::TooManyDependencies {
+            Some(available_bytes) if named > 0 => Err(UnsatisfiableJob::TooManyDependencies {
                 named,
-                recordable: left_bytes * named / dependency_bytes,
+                recordable: available_bytes * named / dependency_bytes,
             }),
             _ => Err(UnsatisfiableJob::DescriptionTooLong),
         }
     }
 
-    /// Whether it can ever run here.
+    /// Checks that the job can run on this cluster: its team exists and has a sufficient limit,
+    /// its record can be stored, and its tasks fit on machines of `types`.
     pub fn admissible(
         &self,
         settings: &Settings,
@@ -98,7 +100,7 @@
         self.check_machine_types(types)
     }
 
-    /// The tasks that must run at the same time have to fit into the team's limit.
+    /// Checks that the tasks that must run at the same time fit into the team's limit.
     fn check_team_limit(&self, settings: &Settings) -> Result<(), UnsatisfiableJob> {
         let Some(team) = settings.team(&self.team) else {
             return Err(UnsatisfiableJob::UnknownTeam(self.team.clone()));
@@ -115,7 +117,8 @@
         }
     }
 
-    /// A task has to fit onto a machine of some type and zone that it allows.
+    /// Checks that a task fits on a machine of a type and zone that the job allows, and that there
+    /// are enough such zones for anti-affinity.
     fn check_machine_types(&self, types: &[MachineType]) -> Result<(), UnsatisfiableJob> {
         let mut zones: BTreeSet<&str> = BTreeSet::new();
         for machine_type in types {
@@ -128,7 +131,7 @@
         if zones.is_empty() {
             return Err(UnsatisfiableJob::NoFittingMachineType);
         }
-        // At most half of the tasks, rounded up, may be in one zone.
+        // With anti-affinity at most half of the tasks, rounded up, may be in one zone.
         if self.anti_affinity && self.tasks > 1 && (self.single_zone || zones.len() < 2) {
             return Err(UnsatisfiableJob::AntiAffinityInSingleZone);
         }
--- a/src/jobs/task_states.rs
+++ b/src/jobs/task_states.rs
@@ -1,16 +1,19 @@
-//! Which state each task of a job is in.
+//! The states of a job's tasks.
 
 use super::ranges::RangeSet;
 use crate::ids::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
-/// The tasks of a job by state. Each task is done, waiting or active; the running ones are
-/// a part of the active ones.
+/// The tasks of a job by state. Each task is either done, waiting or active. Running tasks are a
+/// subset of the active ones.
 #[derive(Debug)]
 pub(super) struct TaskStates {
+    /// Number of tasks of the job.
     count: u32,
+    /// Finished tasks.
     done: RangeSet,
+    /// Tasks that are neither done nor on a machine.
     waiting: RangeSet,
     /// The machine of each active task.
     active: BTreeMap<u32, MachineId>,
@@ -19,7 +22,7 @@
 }
 
 impl TaskStates {
-    /// All tasks wait.
+    /// Creates the state in which all tasks are waiting.
     pub(super) fn new(count: u32) -> TaskStates {
         TaskStates {
             count,
@@ -30,14 +33,16 @@
         }
     }
 
-    /// Records a finished task; false if it was known, or is no task of the job.
+    /// Records that a task finished. Returns `false` if the task was done already or if the job has
+    /// no such task.
     pub(super) fn finish(&mut self, index: u32) -> bool {
         self.clear_active(index);
         self.waiting.remove(index);
         index < self.count && self.done.insert(index)
     }
 
-    /// Records finished tasks as an earlier owner stored them. Its range may exceed the job.
+    /// Restores finished tasks that an earlier owner stored. Indexes that the job does not have are
+    /// ignored.
     pub(super) fn restore_done(&mut self, tasks: Range<u32>) {
         let tasks = tasks.start..tasks.end.min(self.count);
         self.done.insert_range(tasks.clone());
@@ -46,7 +51,8 @@
         }
     }
 
-    /// The attempt ended without a result: the task waits again.
+    /// Records that the attempt of a task ended without a result. The task waits again, unless it
+    /// is done.
     pub(super) fn requeue(&mut self, index: u32) {
         self.clear_active(index);
         if index < self.count && !self.done.contains(index) {
@@ -54,13 +60,13 @@
         }
     }
 
-    /// The task is being started on a machine.
+    /// Records that a task is being started on a machine.
     pub(super) fn start(&mut self, index: u32, machine: MachineId) {
         self.waiting.remove(index);
         self.active.insert(index, machine);
     }
 
-    /// A heartbeat has shown the task running.
+    /// Records that a heartbeat has shown a task running. Has no effect if the task is not active.
     pub(super) fn mark_running(&mut self, index: u32) {
         if self.active.contains_key(&index) {
             self.running.insert(index);
@@ -72,27 +78,27 @@
         self.running.remove(&index);
     }
 
-    /// Finished tasks.
+    /// Returns the finished tasks.
     pub(super) fn done(&self) -> &RangeSet {
         &self.done
     }
 
-    /// Tasks that are neither done nor on a machine.
+    /// Returns the tasks that are neither done nor on a machine.
     pub(super) fn waiting(&self) -> &RangeSet {
         &self.waiting
     }
 
-    /// The machine of each task that is on one.
+    /// Returns the machine of each active task.
     pub(super) fn active(&self) -> &BTreeMap<u32, MachineId> {
         &self.active
     }
 
-    /// How many tasks run.
+    /// Returns the number of running tasks.
     pub(super) fn running_count(&self) -> u32 {
         self.running.len() as u32
     }
 
-    /// How many tasks are not done.
+    /// Returns the number of tasks that are not done.
     pub(super) fn unfinished_count(&self) -> u32 {
         self.count - self.done.len()
     }
--- a/src/jobs/write_state.rs
+++ b/src/jobs/write_state.rs
@@ -1,32 +1,35 @@
-//! Whether a write about a job is in flight, and when the next one may follow.
+//! Pacing of the writes of one job's records: whether one is in flight, and when the next one may
+//! be sent.
 
 use crate::clock::Micros;
 
-/// Guards a job against two writes in flight at once, and against writes that follow each
-/// other too closely.
+/// Ensures that at most one write of a job's records is in flight, and that there is a minimum
+/// interval between two writes.
 #[derive(Debug, Default)]
 pub(super) struct WriteState {
+    /// Whether a write is in flight.
     in_flight: bool,
+    /// Instant before which no write is sent.
     not_before: Micros,
 }
 
 impl WriteState {
-    /// A write is sent.
+    /// Records that a write is sent.
     pub(super) fn begin(&mut self) {
         self.in_flight = true;
     }
 
-    /// The write was answered, or its answer is given up.
+    /// Records that the write was answered, or that no answer to it is expected any more.
     pub(super) fn finish(&mut self) {
         self.in_flight = false;
     }
 
-    /// Nothing is written before then.
+    /// Forbids writes before this instant.
     pub(super) fn delay_until(&mut self, at: Micros) {
         self.not_before = at;
     }
 
-    /// Nothing is written before then.
+    /// Returns the instant before which no write is sent.
     pub(super) fn not_before(&self) -> Micros {
         self.not_before
     }
