--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -1,3 +1,6 @@
+//! Tests of job descriptions, of the order of jobs and of their records, and job data that tests of
+//! other modules use.
+
 use super::dependencies::{DoneAt, Readiness};
 use super::*;
 use crate::clock::Micros;
@@ -8,7 +11,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// The body of a submission, with a field that no version knows.
+/// The body of a valid submission, with a field `new` that no version knows.
 pub fn body() -> serde_json::Value {
     serde_json::json!({
         "id": "j-000412", "lot": "train", "crew": "red", "form": "sweep", "rank": "high", "hands": 4,
@@ -18,6 +21,7 @@
     })
 }
 
+/// The description of a valid job with this id and this number of tasks.
 pub fn desc(id: &str, tasks: u32) -> JobDesc {
     let mut body = body();
     body["id"] = id.into();
@@ -25,6 +29,7 @@
     JobDesc::parse(body.to_string().as_bytes()).expect("well formed")
 }
 
+/// The record of a valid job that was accepted at wall-clock time 0.
 pub fn rec(id: &str, tasks: u32, accepted_term: Term) -> JobRecord {
     JobRecord {
         desc: desc(id, tasks),
@@ -33,6 +38,7 @@
     }
 }
 
+/// Two machine types: `small` in the zones `x` and `y`, and `big` in the zone `x` only.
 pub fn types() -> Vec<MachineType> {
     serde_json::from_value(serde_json::json!([
         {"name": "small", "cores": 4.0, "cards": 0.0, "memGb": 16.0, "cacheGb": 50.0, "pullGbPerS": 1.0,
@@ -43,6 +49,7 @@
     .expect("well formed")
 }
 
+/// Guards against jobs with missing or invalid fields that are accepted and can't be scheduled.
 #[test]
 fn missing_or_invalid_fields_are_malformed() {
     let parse = |body: &serde_json::Value| JobDesc::parse(body.to_string().as_bytes());
@@ -85,6 +92,8 @@
     assert!(JobDesc::parse(br#"{"cores":1e999}"#).is_err());
 }
 
+/// Guards against jobs that are accepted and wait forever, because no machine type, team limit,
+/// zone or value limit can satisfy them.
 #[test]
 fn unsatisfiable_jobs_are_refused() {
     let settings = settings();
@@ -107,7 +116,8 @@
     assert!(is_refused(
         &|desc| desc.machine_types = Some(vec!["huge".into()])
     ));
-    // Anti-affinity in one zone: by its own fields, or since no other zone has the type.
+    // Anti-affinity with only one possible zone: because of the job's own fields, or because no
+    // other zone has a fitting machine type.
     assert!(is_refused(
         &|desc| (desc.anti_affinity, desc.single_zone) = (true, true)
     ));
@@ -129,12 +139,14 @@
     ) = (true, true, 1)));
 }
 
+/// Guards against progress records of a large job that exceed the value limit of the store and can
+/// therefore never be written.
 #[test]
 fn progress_of_a_large_job_is_split_into_pages_within_the_value_limit() {
     for value_kb in [1.0, 16.0, 32.0] {
         let page_tasks = tasks_per_page(value_kb);
         let mut job = Job::new(&rec("j-1", MAX_TASKS, Term(1)), Revision(1), 0, page_tasks);
-        // The worst pattern: every other task of the whole job.
+        // The worst pattern: every other task of the whole job is finished.
         for index in (0..MAX_TASKS).step_by(2) {
             job.finish(index);
         }
@@ -167,11 +179,13 @@
         assert_eq!(
             restored.done(),
             job.done(),
-            "nothing is lost between the pages"
+            "the restored tasks differ from the finished ones"
         );
     }
 }
 
+/// Guards against a job that is both live and ended, or neither, and against progress records that
+/// are kept although there is room to delete them.
 #[test]
 fn end_transaction_replaces_the_live_record_and_deletes_pages() {
     let mut job = Job::new(&rec("j-1", 2, Term(1)), Revision(1), 0, 512);
@@ -187,13 +201,12 @@
     assert_eq!(
         job.end_transaction(Micros(7), 2).1.len(),
         2,
-        "a page left over is garbage"
+        "pages without room for their deletion are left to garbage collection"
     );
 }
 
-/// Guards against what was seen as 843 jobs of one task that started 120 s late to the
-/// second, when the bound against starvation let them pass the arrays of their team that
-/// came before them.
+/// Guards against small jobs that wait behind large arrays of their team. In one run 843 jobs of
+/// one task started exactly 120 s late, because only the starvation bound let them pass the arrays.
 #[test]
 fn urgency_orders_by_deadline_then_start_objective_then_work_per_wait() {
     let job = |tasks: u32, at: f64| {
@@ -207,15 +220,16 @@
     assert!(small.urgency(now) < large.urgency(now));
     assert!(
         job(2, 10.0).urgency(now) < small.urgency(now),
-        "what has waited nine times as long may have twice the work"
+        "a job that has waited nine times as long goes first with twice the work"
     );
-    // Where the class has a start-latency objective, the oldest comes first.
+    // If the class has a start-latency objective, the oldest job comes first.
     let with_start_objective = |mut job: Job| {
         job.start_latency_objective = Some(Micros::from_secs(70.0));
         job.urgency(now)
     };
     assert!(with_start_objective(job(25_000, 10.0)) < with_start_objective(job(1, 90.0)));
-    // With a deadline that can be kept it comes before both, and after them if lost.
+    // A job with a deadline comes before both if the deadline can be met, and after both if the
+    // deadline is missed.
     let with_deadline = |deadline_s: f64| {
         let mut job = job(4, 10.0);
         Rc::make_mut(&mut job.desc).deadline_s = Some(deadline_s);
@@ -225,6 +239,8 @@
     assert!(with_deadline(20.0) > large.urgency(now));
 }
 
+/// Guards against a policy that lets a job use spot machines although its user forbids them, and
+/// against a weight without effect.
 #[test]
 fn policy_choice_narrows_spot_use_and_weighs_urgency() {
     let record = |desc: JobDesc| JobRecord {
@@ -247,7 +263,10 @@
         ..normal
     };
     assert!(!job(true, no_spot).desc.spot);
-    assert!(!job(false, normal).desc.spot, "never widened");
+    assert!(
+        !job(false, normal).desc.spot,
+        "the policy allowed spot machines against the user's choice"
+    );
     let heavy = PolicyChoice {
         weight: 4.0,
         ..normal
@@ -256,6 +275,7 @@
     assert!(job(true, heavy).urgency(now) < job(true, normal).urgency(now));
 }
 
+/// Guards against records without dependencies that differ from those of earlier versions.
 #[test]
 fn dependencies_are_deduplicated_and_left_out_of_the_record_if_empty() {
     let parse_with = |named: serde_json::Value| {
@@ -279,16 +299,19 @@
     assert_eq!(
         recorded(serde_json::json!([])),
         None,
-        "as by earlier versions"
+        "earlier versions write no such field"
     );
     let one = serde_json::json!(["j-2"]);
     assert_eq!(recorded(one.clone()), Some(one));
 }
 
+/// Guards against a page that can never be written: an earlier version, under a higher value limit,
+/// chose pages so large that one may not fit into a value any more.
 #[test]
 fn page_exceeding_a_value_is_recorded_in_parts_and_restored() {
     let value_bytes = 2 * 1024;
-    // As long as the version in production makes it, and of the worst pattern.
+    // Pages as large as the version in production makes them, with the worst pattern: every other
+    // task is finished.
     let page_tasks = tasks_per_page(32.0);
     let tasks = 3 * page_tasks;
     let mut job = Job::new(&rec("j-1", tasks, Term(1)), Revision(1), 0, page_tasks);
@@ -318,10 +341,10 @@
     }
     assert!(
         (0..tasks).all(|index| !job.is_dirty(index)),
-        "all is written"
+        "a page is still dirty"
     );
     assert_eq!(restored.done(), job.done());
-    // What was not written after all is written again, parts and all.
+    // Records that were not written are written again, including the extra parts of a page.
     let numbers: Vec<u32> = numbers.into_iter().collect();
     job.mark_unwritten(&numbers);
     assert!((0..tasks).all(|index| job.is_dirty(index)));
@@ -329,12 +352,17 @@
     assert!(rewritten.record_numbers.len() > 1);
 }
 
+/// Guards against a job that starts before its dependencies are done or after one was cancelled,
+/// and against an owner that waits for machines on which no earlier owner can have started the job.
 #[test]
 fn job_with_dependencies_is_eligible_from_their_end() {
     let mut record = rec("j-2", 2, Term(1));
     record.desc.dependencies = vec!["j-1".into()];
     let mut job = Job::new(&record, Revision(1), 0, 64);
-    assert!(!job.wants_machines(), "until it is known");
+    assert!(
+        !job.wants_machines(),
+        "the dependencies are not known to be done"
+    );
     let done_at = Micros::from_secs(90.0);
     let done = DoneAt {
         wall_clock: Some(done_at),
@@ -342,7 +370,8 @@
     };
     assert!(job.set_readiness(&Readiness::Ready(done)));
     assert!(!job.set_readiness(&Readiness::Ready(done)), "no change");
-    // An owner before the grant at revision 69 can't have started it.
+    // An owner before the grant at revision 69 can't have started the job, because its dependencies
+    // were done at revision 70.
     assert!(job.may_have_begun_before(Term(2), Revision(70)));
     assert!(!job.may_have_begun_before(Term(2), Revision(69)));
     assert!(!job.may_have_begun_before(Term(1), Revision(70)));
@@ -351,19 +380,20 @@
         (job.eligible_since(), job.last_start_at),
         (done_at, done_at)
     );
-    // The deadline counts from the submission all the same.
+    // The deadline is still measured from the submission.
     assert_eq!(job.effective_deadline(), Some(Micros::from_secs(60.0)));
-    // Behind a cancelled one it ends as cancelled, without a task.
+    // If a dependency is cancelled, the job ends as cancelled without starting a task.
     assert!(job.set_readiness(&Readiness::Cancelled));
     assert!(!job.wants_machines() && job.wants_write(done_at) && !job.all_done());
     let (_, mutations) = job.end_transaction(done_at, 5);
     let Mutation::Set { value, .. } = &mutations[1] else {
-        panic!("its end")
+        panic!("no ended record")
     };
     assert_eq!(value["standing"], "cancelled");
 }
 
-/// Users read these texts in the answer to a refused submission.
+/// Guards against accidental changes of the texts that users read in the answer to a refused
+/// submission.
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn refusals_of_submissions_print_exactly_these_texts() {
@@ -374,7 +404,11 @@
         SubmissionError::from(refusal).to_string()
     };
     let texts = [
-        ("id", serde_json::json!("job 1"), "id must be j- and digits"),
+        (
+            "id",
+            serde_json::json!("job 1"),
+            "id must be j- followed by digits",
+        ),
         (
             "hands",
             serde_json::json!(0),
@@ -385,18 +419,18 @@
             serde_json::json!(-1.0),
             "memGb must be finite and not negative",
         ),
-        ("crew", serde_json::json!(""), "crew is empty"),
+        ("crew", serde_json::json!(""), "crew must not be empty"),
         (
             "oneZone",
             serde_json::json!(null),
-            "invalid type: null, expected a boolean",
+            "a field is missing or invalid: invalid type: null, expected a boolean",
         ),
     ];
     for (field, value, text) in texts {
         assert_eq!(malformed(field, value), text);
     }
     let parse = |body: &[u8]| JobDesc::parse(body).expect_err("malformed").to_string();
-    assert_eq!(parse(b"[]"), "not an object");
+    assert_eq!(parse(b"[]"), "not a JSON object");
     assert_eq!(
         parse(b"{"),
         "not JSON: EOF while parsing an object at line 1 column 1"
@@ -416,26 +450,26 @@
     );
     assert_eq!(
         never_runs(&|desc| desc.cores = 17.0),
-        "one task is over its team's limit"
+        "the tasks that must run at the same time exceed their team's limit"
     );
     assert_eq!(
         never_runs(&|desc| desc.class = "x".repeat(17_000)),
-        "its description is too long to be recorded"
+        "the job description is too long to be stored"
     );
     assert_eq!(
         never_runs(&|desc| desc.dependencies = too_many(2_000).collect()),
-        "it names 2000 jobs before it, and about 1219 can be recorded"
+        "the job depends on 2000 jobs, but only about 1219 can be stored"
     );
     assert_eq!(
         never_runs(&|desc| desc.machine_types = Some(vec![])),
-        "a task fits no allowed machine type"
+        "one task does not fit on any allowed machine type in any allowed zone"
     );
     assert_eq!(
         never_runs(&|desc| (desc.anti_affinity, desc.single_zone) = (true, true)),
-        "its tasks must be apart, but only one zone is allowed"
+        "apart requires two zones, but the tasks are allowed in only one"
     );
     assert_eq!(
         UnsatisfiableJob::UnknownDependency("j-7".into()).to_string(),
-        "it names j-7, which was never accepted"
+        "the job depends on j-7, which was never accepted"
     );
 }
