--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// Policy.
+/// Methods that apply the operators' policy.
 impl Job {
     /// Applies the decisions of the operators' policy. They can only restrict what the user allows.
     pub fn apply_policy(&mut self, choice: PolicyChoice) {
@@ -105,7 +105,7 @@
     }
 }
 
-/// Dependencies.
+/// Methods that track the job's dependencies.
 impl Job {
     /// Records whether the job's dependencies are done. Returns whether the job became ready,
     /// ceased to be ready, or became cancelled.
@@ -156,7 +156,7 @@
     }
 }
 
-/// Tasks.
+/// Methods that track the job's tasks.
 impl Job {
     /// Returns the finished tasks.
     pub fn done(&self) -> &RangeSet {
@@ -212,7 +212,7 @@
     }
 }
 
-/// Failures.
+/// Methods that track the job's failures.
 impl Job {
     /// Records that an attempt of the job failed on a machine.
     pub fn record_failure(&mut self, machine: MachineId) {
@@ -266,7 +266,7 @@
     }
 }
 
-/// Records in the key-value store.
+/// Methods that store the job's progress and end in the key-value store.
 impl Job {
     /// Limits the size of the job's progress records, in bytes of JSON.
     pub fn limit_value_bytes(&mut self, max: usize) {
@@ -334,8 +334,8 @@
         self.progress.has_dirty() || self.progress.running_changed(self.tasks.running_count())
     }
 
-    /// Whether nothing has to be written except, possibly, whether a task of the job is running.
-    /// That is only shown to users, and nothing else depends on it.
+    /// Whether the only change to write, if there is any, is whether a task of the job is running.
+    /// This state is only shown to users, and nothing else depends on it.
     pub fn has_only_display_changes(&self) -> bool {
         !self.is_terminal() && !self.progress.has_dirty()
     }
@@ -371,7 +371,8 @@
         self.dependency_state.has_cancelled() || self.all_done()
     }
 
-    /// Returns the state in which the job ends. Valid only if the job is terminal.
+    /// Returns the state in which the job ends. The result is meaningful only if the job is
+    /// terminal.
     pub fn terminal_state(&self) -> JobState {
         if self.dependency_state.has_cancelled() {
             JobState::Cancelled
--- a/src/jobs/progress_pages.rs
+++ b/src/jobs/progress_pages.rs
@@ -106,8 +106,7 @@
         *known = revision.max(*known);
     }
 
-    /// Restores from one of the records whether the job was running when an earlier owner wrote
-    /// it.
+    /// Restores whether the job was running when an earlier owner wrote one of its records.
     pub(super) fn restore_running(&mut self, running: bool) {
         self.recorded_running |= running;
     }
@@ -134,7 +133,7 @@
         !self.dirty.is_empty()
     }
 
-    /// Whether the last record has become wrong about whether the job is running.
+    /// Whether the job started or stopped running since its state was last recorded.
     pub(super) fn running_changed(&self, running_count: u32) -> bool {
         self.recorded_running != (running_count > 0)
     }
--- a/src/workers/agent.rs
+++ b/src/workers/agent.rs
@@ -44,8 +44,8 @@
 pub(super) struct AgentState {
     /// Position of the newest accepted heartbeat.
     position: HeartbeatPosition,
-    /// Agent epoch of the last stale heartbeat. Direct commands are addressed to it as long as
-    /// no heartbeat has been accepted.
+    /// Agent epoch of the last stale heartbeat. Direct commands are addressed to it unless the
+    /// newest accepted heartbeat is of a later epoch.
     last_stale_agent_epoch: u64,
     /// Whether any heartbeat has arrived, accepted or stale. Even a stale one shows that the
     /// machine has booted.
--- a/src/workers/attempt.rs
+++ b/src/workers/attempt.rs
@@ -41,8 +41,8 @@
     pub phase: AttemptPhase,
     /// The reason why the attempt ended; `None` while it has not ended or if no reason is known.
     pub cause: Option<ExitCause>,
-    /// The resources that the attempt requests, and its team. `None` if its job is unknown: it
-    /// may then belong to any team and use the whole machine.
+    /// The resources that the attempt requests, and its team. `None` if they are not known: the
+    /// attempt may then belong to any team and use the whole machine.
     pub demand: Option<TaskDemand>,
     /// The description of the attempt's job; `None` if the job is unknown.
     pub desc: Option<Rc<JobDesc>>,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns the resources that the attempt requests, or none at all if its job is unknown.
+    /// Returns the resources that the attempt requests, or no resources if they are not known.
     pub fn request(&self) -> Resources {
         self.demand
             .map_or(Resources::default(), |demand| demand.request)
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -26,7 +26,7 @@
     pub(super) direct_commands: DirectCommandChannel,
     /// Attempts that are, or may still be, on the machine.
     pub attempts: BTreeMap<AttemptKey, Attempt>,
-    /// Images that the machine has probably stored.
+    /// Images that are probably stored on the machine.
     pub images: BTreeSet<ImageKey>,
     /// Instant at which the cloud preempts the machine; `None` if the cloud has given no notice.
     pub(super) preempted_at: Option<Micros>,
@@ -37,7 +37,8 @@
     /// Whether the machine was in use before this owner received it, so that the cloud's minimum
     /// charge for it is already paid.
     pub minimum_charge_paid: bool,
-    /// Instant since which no attempt has been on the machine.
+    /// Last instant at which attempts were known to be on the machine, or the instant at which this
+    /// owner received the machine if there were none.
     pub(super) idle_since: Micros,
     /// Capacity of the machine that is reserved for jobs.
     pub reservations: Reservations,
@@ -48,7 +49,7 @@
 }
 
 impl Machine {
-    /// Creates the state of a machine that sent no heartbeat yet. Its commands are sent under
+    /// Creates the state of a machine that has sent no heartbeat yet. Its commands are sent under
     /// fencing tokens of `term`.
     pub fn new(now: Micros, term: Term, spec: MachineSpec) -> Self {
         Machine {
@@ -147,7 +148,8 @@
         self.preempted_at
     }
 
-    /// Returns the instant since which no attempt has been on the machine.
+    /// Returns the last instant at which attempts were known to be on the machine, or the instant
+    /// at which this owner received the machine if there were none.
     pub fn idle_since(&self) -> Micros {
         self.idle_since
     }
