--- a/src/controller/tests/mod.rs
+++ b/src/controller/tests/mod.rs
@@ -1,5 +1,8 @@
-//! Whole clusters in small: the controllers' cores in a deterministic simulation, and with real
-//! sockets on loopback. Each test names the failure that it guards against.
+//! Cluster tests of the controllers.
+//!
+//! Most tests run the controllers' cores in a deterministic simulation ([`simulation`]); one
+//! runs whole controllers with real sockets on loopback ([`loopback`]). There is one module for
+//! each behaviour, and [`fault_pairs`] combines random faults.
 
 mod autoscaling;
 mod cancellation;
--- a/src/controller/tests/simulation/builder.rs
+++ b/src/controller/tests/simulation/builder.rs
@@ -1,4 +1,4 @@
-//! The set-ups of simulations.
+//! Builds simulations: the number of controllers and machines, and changes to the settings.
 
 use super::cloud::SimulatedCloud;
 use super::controller::ControllerNode;
@@ -13,12 +13,12 @@
 use crate::settings::tests::example;
 use serde_json::{Value, json};
 
-/// Seconds in which a small fleet is adopted.
+/// Time in seconds within which a small fleet is adopted after a cold start.
 const WARM_UP_S: f64 = 6.0;
 
 type SettingsChange = Box<dyn Fn(&mut Value)>;
 
-/// Builds a simulation: so many controllers and machines, and what differs in the settings.
+/// Builds a simulation with a given number of controllers and machines and changed settings.
 pub struct SimulationBuilder {
     controllers: usize,
     machines: usize,
@@ -26,7 +26,7 @@
 }
 
 impl SimulationBuilder {
-    /// Changes the settings file of each controller.
+    /// Applies a change to the settings file of each controller.
     pub fn settings(mut self, change: impl Fn(&mut Value) + 'static) -> Self {
         self.changes.push(Box::new(change));
         self
@@ -39,7 +39,7 @@
         })
     }
 
-    /// Each team's guaranteed quota and quota limit in cores.
+    /// Sets each team's guaranteed quota and quota limit, in cores.
     pub fn team_quotas(self, guaranteed: f64, limit: f64) -> Self {
         self.each_team(move |team| {
             team["cpus"] = guaranteed.into();
@@ -47,12 +47,12 @@
         })
     }
 
-    /// Each team's quota limit in cores.
+    /// Sets each team's quota limit, in cores.
     pub fn team_limits(self, limit: f64) -> Self {
         self.each_team(move |team| team["cpus_max"] = limit.into())
     }
 
-    /// One more team, without a guaranteed quota or a quota limit.
+    /// Adds the team `guests`, which has neither a guaranteed quota nor a quota limit.
     pub fn guest_team(self) -> Self {
         self.settings(|settings| {
             let teams = settings["settings"]["teams"].as_array_mut();
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Each controller has a whole core, which is enough for thousands of machines.
+    /// Gives each controller a whole processor core, which is enough for thousands of machines.
     pub fn whole_core(self) -> Self {
         self.settings(|settings| settings["settings"]["limits"]["cpu_share"] = 1.0.into())
     }
@@ -79,7 +79,7 @@
         ControllerNode::new(settings)
     }
 
-    /// The simulation at its first moment, with all controllers just started.
+    /// Builds the simulation and starts all controllers, without advancing the clock.
     pub fn build(self) -> Simulation {
         let now = secs(1.0);
         let controllers = (0..self.controllers).map(|index| self.controller(index));
@@ -102,7 +102,8 @@
         simulation
     }
 
-    /// The simulation once its partitions are owned and its machines adopted.
+    /// Builds the simulation and advances it until partitions have owners and machines are
+    /// adopted.
     pub fn started(self) -> Simulation {
         let mut simulation = self.build();
         simulation.advance(WARM_UP_S);
@@ -111,7 +112,7 @@
 }
 
 impl Simulation {
-    /// A builder for so many controllers and machines.
+    /// Returns a builder for the given number of controllers and machines.
     pub fn builder(controllers: usize, machines: usize) -> SimulationBuilder {
         SimulationBuilder {
             controllers,
@@ -120,12 +121,13 @@
         }
     }
 
-    /// So many controllers and machines, with the settings of the example.
+    /// Builds a simulation with the example settings and starts all controllers.
     pub fn new(controllers: usize, machines: usize) -> Simulation {
         Simulation::builder(controllers, machines).build()
     }
 
-    /// The same, once the partitions are owned and the machines adopted.
+    /// Builds a simulation with the example settings, in which partitions have owners and
+    /// machines are adopted.
     pub fn started(controllers: usize, machines: usize) -> Simulation {
         Simulation::builder(controllers, machines).started()
     }
--- a/src/controller/tests/simulation/cloud.rs
+++ b/src/controller/tests/simulation/cloud.rs
@@ -1,5 +1,7 @@
-//! The stand-in of the cloud: it lists, adds and releases machines. It owns what is booting
-//! and what is released, and must never release a machine by itself.
+//! A simulated cloud: it lists, adds and releases machines.
+//!
+//! This module owns the state of each machine (booting, running or released). It releases a
+//! machine only at a controller's request.
 
 use super::worker::SimulatedWorker;
 use super::{Simulation, secs};
@@ -10,41 +12,41 @@
 use crate::ids::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds until an added machine is up.
+/// Time in seconds from a scale-out until the added machines are running.
 const BOOT_DURATION_S: f64 = 3.0;
-/// The age in seconds of every machine that is up.
+/// Age in seconds that the cloud reports for every running machine.
 const RUNNING_AGE_S: f64 = 1.0;
 
-/// Machines that were added for one request.
+/// The machines that were added for one request.
 #[derive(Debug)]
 pub struct ScaleOut {
-    /// Their zone.
+    /// Zone of the machines.
     pub zone: String,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
 }
 
 /// The cloud of the simulation.
 pub struct SimulatedCloud {
-    /// It gives no answer but its list of machine types.
+    /// Whether the cloud leaves all requests unanswered, except for its list of machine types.
     pub is_unreachable: bool,
-    /// It has machines to add, up after three seconds.
+    /// Whether the cloud has machines to add, which are running after three seconds.
     pub has_capacity: bool,
-    /// Zones in which it adds none all the same.
+    /// Zones in which the cloud has no capacity even if `has_capacity` is set.
     pub zones_without_capacity: BTreeSet<&'static str>,
-    /// Its machine types with their prices.
+    /// Machine types with their prices.
     pub machine_types: Vec<MachineType>,
     /// Machines that were released.
     pub released: Vec<MachineId>,
-    /// Machines that do not come up, and since when they have been booting.
+    /// Machines that remain in the booting state, with the start of that state.
     pub booting_since: BTreeMap<MachineId, Micros>,
-    /// What was added, in its order.
+    /// Scale-outs that were executed, in order.
     pub scale_outs: Vec<ScaleOut>,
     machines_by_request: BTreeMap<String, Vec<MachineId>>,
 }
 
 impl SimulatedCloud {
-    /// A cloud without free machines.
+    /// Creates a cloud without capacity for further machines.
     pub fn new(machine_types: Vec<MachineType>) -> SimulatedCloud {
         SimulatedCloud {
             is_unreachable: false,
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Whether a machine was released.
+    /// Returns whether a machine was released.
     pub fn is_released(&self, machine: &MachineId) -> bool {
         self.released.contains(machine)
     }
@@ -82,7 +84,7 @@
 }
 
 impl Simulation {
-    /// Answers a request to the cloud.
+    /// Handles a controller's request and returns the reply.
     pub(super) fn send_to_cloud(&mut self, request: &CloudRequest) -> CloudReply {
         if self.cloud.is_unreachable && *request != CloudRequest::MachineTypes {
             return CloudReply::Indeterminate;
@@ -101,17 +103,17 @@
             }
             CloudRequest::ScaleOut {
                 name,
-                record: order,
+                record: scale_out,
             } => {
                 let has_capacity = self.cloud.has_capacity
                     && !self
                         .cloud
                         .zones_without_capacity
-                        .contains(order.zone.as_str());
+                        .contains(scale_out.zone.as_str());
                 if !has_capacity {
                     return CloudReply::NoCapacity;
                 }
-                CloudReply::ScaledOut(self.scale_out(name, order))
+                CloudReply::ScaledOut(self.scale_out(name, scale_out))
             }
             CloudRequest::Release(machines) => {
                 self.cloud.released.extend(machines.iter().cloned());
@@ -127,28 +129,29 @@
         }
     }
 
-    /// Adds machines, once for each request name.
-    fn scale_out(&mut self, name: &str, order: &ScaleOutRecord) -> Vec<MachineId> {
+    /// Adds machines and returns their identifiers. Requests are idempotent: a repeated request
+    /// name returns the machines of the first request.
+    fn scale_out(&mut self, name: &str, request: &ScaleOutRecord) -> Vec<MachineId> {
         if let Some(machines) = self.cloud.machines_by_request.get(name) {
             return machines.clone();
         }
-        let machine_type = if order.machine_type == "big" {
+        let machine_type = if request.machine_type == "big" {
             "big"
         } else {
             "small"
         };
-        let zone = match order.zone.as_str() {
+        let zone = match request.zone.as_str() {
             "y" => "y",
             "z" => "z",
             _ => "x",
         };
         self.cloud.scale_outs.push(ScaleOut {
             zone: zone.to_owned(),
-            count: order.count,
+            count: request.count,
         });
         let up_at = self.now + secs(BOOT_DURATION_S);
         let first = self.workers.len();
-        for number in first..first + order.count as usize {
+        for number in first..first + request.count as usize {
             let mut worker = SimulatedWorker::new(number, machine_type, zone, up_at);
             worker.is_isolated = self.network.isolated_zones.contains(zone);
             self.workers.push(worker);
@@ -163,14 +166,14 @@
         machines
     }
 
-    /// The workers whose machines are not released.
+    /// Iterates over the workers whose machines have not been released.
     pub fn live_workers(&self) -> impl Iterator<Item = &SimulatedWorker> {
         self.workers
             .iter()
             .filter(|worker| !self.cloud.is_released(&worker.id))
     }
 
-    /// All machines that have sent no heartbeat yet never will: they do not come up.
+    /// Keeps all machines that have sent no heartbeat in the booting state permanently.
     pub fn keep_booting(&mut self) {
         let new = self
             .workers
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Machines come up that no controller requested.
+    /// Adds running machines of type `big` in zone `x` that no controller requested.
     pub fn add_machines(&mut self, count: usize) {
         let first = self.workers.len();
         let now = self.now;
--- a/src/controller/tests/simulation/controller.rs
+++ b/src/controller/tests/simulation/controller.rs
@@ -1,5 +1,8 @@
-//! A controller of the simulation: the core with its settings and what it has read of the
-//! store. The effects of its core are carried out here, by the stand-ins.
+//! A controller of the simulation: the core, its settings and its position in the store's watch
+//! log.
+//!
+//! This module passes inputs to the cores and executes the effects that they return, with the
+//! simulated store, cloud, workers and peers.
 
 use super::network::ControllerFaults;
 use super::{Simulation, secs};
@@ -17,29 +20,29 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The request identifier of heartbeats that workers send.
+/// Request identifier of the heartbeats that workers send.
 const HEARTBEAT_REQUEST: u64 = 1;
 
 /// A controller of the simulation.
 pub struct ControllerNode {
-    /// Its state while its process runs.
+    /// State of the controller's process. `None`: the process is not running.
     pub core: Option<Core>,
-    /// Its settings.
+    /// Settings of the controller.
     pub settings: Rc<Settings>,
-    /// The last revision of which it has received the changes.
+    /// Store revision up to which the controller has received all changes.
     watched_revision: u64,
-    /// It has listed the store since it started.
+    /// Whether the controller has listed the store since it started or lost its watch.
     has_listed_store: bool,
-    /// The faults that it meets now.
+    /// Active faults of the controller.
     pub faults: ControllerFaults,
-    /// The subsystems that are on when it starts next.
+    /// Subsystems that are enabled at the next start of the controller.
     pub subsystems: Subsystems,
-    /// What its API shows.
+    /// State that the controller's API serves.
     pub view: Arc<ApiView>,
 }
 
 impl ControllerNode {
-    /// A controller that has not started yet.
+    /// Creates a controller that has not been started.
     pub fn new(settings: Settings) -> ControllerNode {
         ControllerNode {
             core: None,
@@ -52,9 +55,10 @@
         }
     }
 
-    /// Starts its process, which has no state yet.
+    /// Starts the controller's process with empty state.
     pub fn start(&mut self, now: Micros, idle_release_after: Micros) {
-        // Nothing idle is released here, unless a test wants it.
+        // The simulation's default is so long that idle machines are not released unless a test
+        // sets a shorter time.
         let mut policy = standard();
         policy.spot_idle_timeout = idle_release_after;
         policy.on_demand_idle_timeout = idle_release_after;
@@ -63,27 +67,29 @@
         self.has_listed_store = false;
     }
 
-    /// Whether its process exists and is not paused.
+    /// Returns whether the controller's process exists and is not paused.
     pub fn is_running(&self) -> bool {
         self.core.is_some() && !self.faults.is_paused
     }
 
-    /// Whether workers reach it.
+    /// Returns whether heartbeats of workers reach the controller.
     pub fn accepts_workers(&self) -> bool {
         self.is_running() && !self.faults.is_cut_from_workers
     }
 
-    /// Whether its requests to the store are answered while the store is up.
+    /// Returns whether the store answers the controller's requests, provided that the store is up.
     pub fn reaches_store(&self) -> bool {
         !self.faults.is_cut_from_store && !self.faults.is_rejected_by_store
     }
 
-    /// Its watch fell behind the store's log: it lists everything again.
+    /// Makes the controller list the whole store again, as if the store had compacted the log
+    /// entries that its watch needs next.
     pub fn lose_watch(&mut self) {
         self.has_listed_store = false;
     }
 
-    /// Cuts it off from the store and from its peers, not from its workers.
+    /// Isolates the controller from the store and from its peers, but not from workers, or
+    /// reconnects it.
     pub fn set_isolated(&mut self, is_isolated: bool) {
         self.faults.is_cut_from_store = is_isolated;
         self.faults.is_cut_from_peers = is_isolated;
@@ -91,13 +97,13 @@
 }
 
 impl Simulation {
-    /// Starts a controller.
+    /// Starts the process of a controller.
     pub fn start_controller(&mut self, controller: usize) {
         let (now, idle_release_after) = (self.now, self.idle_release_after);
         self.controllers[controller].start(now, idle_release_after);
     }
 
-    /// Starts all controllers.
+    /// Starts the processes of all controllers.
     pub fn start_all_controllers(&mut self) {
         (0..self.controllers.len()).for_each(|controller| self.start_controller(controller));
     }
@@ -112,21 +118,22 @@
         (0..self.controllers.len()).for_each(|controller| self.crash_controller(controller));
     }
 
-    /// Ends the process of a controller and starts it at once.
+    /// Ends the process of a controller and starts it again immediately.
     pub fn restart_controller(&mut self, controller: usize) {
         self.crash_controller(controller);
         self.start_controller(controller);
     }
 
-    /// Ends the process of the partition's owner, and says which controller that was.
+    /// Ends the process of the first partition's owner and returns the index of that controller.
     pub fn crash_owner(&mut self) -> usize {
         let owner = self.owner();
         self.crash_controller(owner);
         owner
     }
 
-    /// Gives an input to a controller and carries out all effects, with what follows from
-    /// their replies. The answer to a heartbeat is returned.
+    /// Passes an input to a controller, executes all effects, and passes their replies to the
+    /// controller as further inputs. Returns the answer to a heartbeat, or `None` if there was no
+    /// heartbeat or the controller is not running.
     pub fn handle_input(&mut self, controller: usize, input: Input) -> Option<HeartbeatAnswer> {
         let now = self.now;
         let mut inputs = vec![input];
@@ -151,7 +158,8 @@
         heartbeat_answer
     }
 
-    /// Carries out an effect that has a reply.
+    /// Executes an effect that has a reply and returns the reply as an input. Returns `None` for
+    /// any other effect.
     fn reply_to(&mut self, controller: usize, effect: Effect) -> Option<Input> {
         match effect {
             Effect::StoreRequest {
@@ -187,7 +195,7 @@
         }
     }
 
-    /// Peers receive a message at once and act on it at their next tick.
+    /// Delivers a message to all peers immediately. A peer acts on it at its next tick.
     fn send_to_peers(&mut self, sender: usize, message: &Message) {
         if self.controllers[sender].faults.is_cut_from_peers {
             return;
@@ -203,7 +211,8 @@
         }
     }
 
-    /// A controller lists the store, or receives the changes since its last revision.
+    /// Delivers the changes since the controller's last revision, or the list of all entries if
+    /// the controller has not listed the store.
     pub fn deliver_watch_events(&mut self, index: usize) {
         let requested_at = self.now;
         let revision = self.store.revision;
@@ -230,7 +239,8 @@
         self.handle_input(index, input);
     }
 
-    /// A worker's heartbeat arrives at a controller.
+    /// Delivers a heartbeat to a controller and returns its answer. Returns `None` if the
+    /// controller is not running.
     pub fn deliver_heartbeat(
         &mut self,
         controller: usize,
@@ -243,7 +253,8 @@
         self.handle_input(controller, input)
     }
 
-    /// A new heartbeat of a worker arrives at a controller.
+    /// Delivers the next heartbeat of a worker to a controller and returns its answer. Returns
+    /// `None` if the controller is not running.
     pub fn deliver_heartbeat_of(
         &mut self,
         worker: usize,
@@ -286,7 +297,7 @@
                 continue;
             };
             if response.fencing_token > worker.fencing_token || !response.commands.is_empty() {
-                // A change is reported soon.
+                // The worker reports the changed state in its next heartbeat, half a second later.
                 worker.next_heartbeat_at = self.now + secs(0.5);
             }
             if response.fencing_token >= worker.fencing_token {
@@ -299,7 +310,8 @@
         }
     }
 
-    /// A worker that answers don't reach waits in vain, and then tries the next controller.
+    /// Sends the heartbeat of a worker that answers do not reach. After a timeout the worker sends
+    /// its next heartbeat to the next controller.
     fn send_unanswered_heartbeat(&mut self, index: usize) {
         let count = self.controllers.len();
         let worker = &mut self.workers[index];
@@ -311,7 +323,7 @@
         self.deliver_heartbeat_of(index, next);
     }
 
-    /// The controller that owns the first partition.
+    /// Returns the controller that owns the first partition.
     pub fn owner(&self) -> usize {
         let record = self.store.value("r/blocks/0/holder");
         let label: Label = serde_json::from_value(record["holder"].clone()).expect("an owner");
@@ -321,7 +333,7 @@
             .expect("a controller")
     }
 
-    /// The controller that the store records as leader.
+    /// Returns the controller that the store records as leader, or `None` without a leader.
     pub fn leader(&self) -> Option<usize> {
         let label = &self.store.keys.get(keys::LEADER)?.value["holder"];
         self.controllers
@@ -329,7 +341,8 @@
             .position(|controller| *label == *controller.settings.label.as_str())
     }
 
-    /// Machines that were compared with a class of work so far, by the first controller.
+    /// Returns how many comparisons of a machine with a class of tasks the first controller has
+    /// made.
     pub fn machines_compared(&self) -> usize {
         self.controllers[0]
             .core
@@ -337,7 +350,7 @@
             .map_or(0, Core::machines_compared)
     }
 
-    /// The time in seconds within which a cancelled job's tasks have ended.
+    /// Returns the time in seconds within which the tasks of a cancelled job must end.
     pub fn cancel_timeout_s(&self) -> f64 {
         self.controllers[0]
             .settings
@@ -346,7 +359,8 @@
             .cancellation_timeout_s
     }
 
-    /// The time in seconds after which an unanswered worker ends its tasks.
+    /// Returns the worker lease in seconds: the time without an answer to its heartbeats after
+    /// which a worker ends its tasks.
     pub fn worker_lease_s(&self) -> f64 {
         self.controllers[0].settings.platform.workers.lease_s
     }
--- a/src/controller/tests/simulation/invariants.rs
+++ b/src/controller/tests/simulation/invariants.rs
@@ -1,5 +1,6 @@
-//! The invariants that hold at every moment of a simulation. Each check panics with what
-//! broke it.
+//! The invariants that hold after every step of a simulation.
+//!
+//! Each check panics with a description of the violation.
 
 use super::worker::{Launch, SimulatedWorker};
 use super::{Simulation, ZONES, secs};
@@ -8,24 +9,25 @@
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
 
-/// Cores by which sums of cores may differ for rounding.
+/// Tolerance in cores for rounding errors in sums of cores.
 const CORES_TOLERANCE: f64 = 1e-6;
 
-/// Where an attempt was launched first.
+/// Task and machine for which an attempt number was first used.
 #[derive(Debug, PartialEq)]
 struct AttemptPlacement {
     task: String,
     machine: MachineId,
 }
 
-/// What the invariants remember of the past.
+/// State that the invariant checks keep between steps: the first placement of each attempt
+/// number.
 #[derive(Default)]
 pub struct Invariants {
     placements: BTreeMap<u64, AttemptPlacement>,
 }
 
 impl Invariants {
-    /// An attempt's number is for one task on one machine.
+    /// Checks that an attempt number is used for one task on one machine only.
     fn check_attempt(&mut self, launch: &Launch, worker: &SimulatedWorker) {
         let placement = AttemptPlacement {
             task: launch.task.clone(),
@@ -38,7 +40,7 @@
             Entry::Occupied(first) => assert_eq!(
                 *first.get(),
                 placement,
-                "attempt {} is given twice",
+                "attempt number {} was assigned twice",
                 launch.attempt
             ),
         }
@@ -46,14 +48,14 @@
 }
 
 impl Simulation {
-    /// Checks all invariants.
+    /// Checks all invariants. Panics if one is violated.
     pub fn check_invariants(&mut self) {
         self.check_launches();
         self.check_running_tasks();
     }
 
-    /// What was launched since the last check: an attempt's number never repeats, and its
-    /// task may be where it is.
+    /// Checks the launches since the last check: each has a new attempt number, and its task is
+    /// allowed to run on that machine.
     fn check_launches(&mut self) {
         for index in 0..self.workers.len() {
             for launch in std::mem::take(&mut self.workers[index].launches) {
@@ -70,7 +72,7 @@
     fn check_placement(&self, task: &TaskId, job: &JobDesc, worker: &SimulatedWorker) {
         assert!(
             job.allows(worker.machine_type, worker.zone, false),
-            "{task} on {} in {}",
+            "{task} must not run on machine type {} in zone {}",
             worker.machine_type,
             worker.zone
         );
@@ -79,7 +81,7 @@
             assert_eq!(
                 state,
                 Some(JobState::Done),
-                "{task} starts before {dependency}"
+                "{task} started before {dependency} was done"
             );
         }
         let prefix = format!("{}/", task.job);
@@ -95,26 +97,31 @@
                 .filter(|zone| *zone != worker.zone)
                 .map(running_in_zone)
                 .sum();
-            assert_eq!(elsewhere, 0, "{task} in {}: not in one zone", worker.zone);
+            assert_eq!(
+                elsewhere, 0,
+                "{task} started in {}, but tasks of its single-zone job run in another zone",
+                worker.zone
+            );
         }
         if job.anti_affinity {
             let max_in_zone = job.tasks.div_ceil(2) as usize;
             assert!(
                 running_in_zone(worker.zone) <= max_in_zone,
-                "{task} in {}: not spread",
+                "{task} started in {}, which runs more than half of its anti-affinity job",
                 worker.zone
             );
         }
     }
 
-    /// No task runs on two machines, no team exceeds its limit, cancelled tasks included,
-    /// and those end in time.
+    /// Checks that no task runs on two machines, that no team exceeds its quota limit, and that
+    /// cancelled tasks end within the cancel timeout. Cancelled tasks that still run count
+    /// against the limit.
     fn check_running_tasks(&self) {
         let platform = &self.controllers[0].settings.platform;
         let mut machine_of: BTreeMap<&str, &MachineId> = BTreeMap::new();
         let mut used_cores: BTreeMap<&str, f64> = BTreeMap::new();
-        // A paused worker may continue at any moment within its lease, and runs nothing
-        // after it: the lease expires before anything else when it continues.
+        // The tasks of a paused worker count until its lease has expired. After that they never
+        // run again: when the worker resumes, it handles its expired lease before anything else.
         let lease = secs(platform.workers.lease_s);
         let may_run = |worker: &&SimulatedWorker| {
             !worker.is_paused || self.now.since(worker.last_answer_at) <= lease
@@ -124,14 +131,14 @@
                 let other = machine_of.insert(task, &worker.id);
                 assert!(
                     other.is_none(),
-                    "{task} runs on {} and {other:?}",
+                    "{task} runs on {} and on {other:?}",
                     worker.id
                 );
                 let job = task.split('/').next().expect("a job").into();
                 if let Some(submitted) = self.users.submitted.get(&job) {
                     *used_cores.entry(&submitted.team).or_default() += submitted.cores;
                 }
-                // A paused worker runs nothing until it continues.
+                // A paused worker runs nothing until it resumes.
                 if !worker.is_paused {
                     self.check_cancellation(task, &job, worker);
                 }
@@ -143,7 +150,7 @@
             let max_cores = team.limit().cores;
             assert!(
                 cores <= max_cores + CORES_TOLERANCE,
-                "{} uses {cores}",
+                "team {} uses {cores} cores, its limit is {max_cores}",
                 team.name
             );
         }
@@ -154,7 +161,7 @@
             let elapsed_s = self.now.since(*cancelled_at).as_secs();
             assert!(
                 elapsed_s <= self.cancel_timeout_s(),
-                "{task} on {} is cancelled since {elapsed_s}",
+                "{task} still runs on {} {elapsed_s} s after its cancellation",
                 worker.id
             );
         }
--- a/src/controller/tests/simulation/kv_store.rs
+++ b/src/controller/tests/simulation/kv_store.rs
@@ -1,6 +1,8 @@
-//! The stand-in of the consensus-backed key-value store: compare-and-swap, leases and the
-//! watch log, in memory. It owns keys and leases, and must never accept a write beyond the
-//! store's documented limits.
+//! An in-memory simulation of the consensus-backed key-value store: compare-and-swap
+//! transactions, leases and the watch log.
+//!
+//! This module owns all keys and leases. It panics at a transaction that exceeds the store's
+//! documented limits.
 
 use crate::clock::Micros;
 use crate::ids::{LeaseId, Revision};
@@ -8,21 +10,21 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Compares that a transaction may have for each mutation that it may have.
+/// Ratio of the maximum number of compares to the maximum number of mutations of a transaction.
 const COMPARES_PER_MUTATION: usize = 4;
-/// Bytes of all values of a transaction.
+/// Exclusive upper bound of the total size of a transaction's values, in bytes.
 const MAX_TRANSACTION_BYTES: usize = 60 * 1024;
 
-/// The size limits of the key-value store.
+/// Size limits of the key-value store.
 pub struct StoreLimits {
-    /// Bytes of one value.
+    /// Maximum size of a value, in bytes.
     pub value_bytes: usize,
-    /// Mutations of one transaction.
+    /// Maximum number of mutations of a transaction.
     pub transaction_mutations: usize,
 }
 
 impl Default for StoreLimits {
-    /// As the settings of these tests say.
+    /// Returns the limits that the test settings declare: values of 16 KiB and 16 mutations.
     fn default() -> Self {
         StoreLimits {
             value_bytes: 16 * 1024,
@@ -31,46 +33,46 @@
     }
 }
 
-/// A stored value with its revision and the lease that it is bound to.
+/// A stored value with its revision and its lease.
 pub struct StoredValue {
-    /// The revision of its last write.
+    /// Revision of the last write of the key.
     pub revision: u64,
-    /// The record as JSON.
+    /// Value as JSON.
     pub value: Value,
-    /// The lease that deletes it on expiry.
+    /// Lease on whose expiry the key is deleted. `None`: the key does not expire.
     pub lease_id: Option<u64>,
 }
 
 /// A lease of the store.
 pub struct StoreLease {
-    /// Its time to live from each renewal.
+    /// Time to live after each renewal.
     pub ttl: Micros,
-    /// When it expires unless it is renewed.
+    /// Time at which the lease expires unless it is renewed.
     pub expires_at: Micros,
 }
 
-/// A key-value store in memory, as its protocol describes it.
+/// An in-memory key-value store that behaves as the store's protocol specifies.
 #[derive(Default)]
 pub struct SimulatedKvStore {
-    /// The limits that each transaction is checked against.
+    /// Limits that each transaction is checked against.
     pub limits: StoreLimits,
-    /// The revision of the last commit.
+    /// Revision of the last commit.
     pub revision: u64,
-    /// All keys.
+    /// All keys with their values.
     pub keys: BTreeMap<String, StoredValue>,
-    /// The leases that have not expired.
+    /// Leases that have neither expired nor been revoked.
     pub leases: BTreeMap<u64, StoreLease>,
-    /// Every change so far, by revision.
+    /// All changes since the start, ordered by revision.
     pub watch_log: Vec<WatchEvent>,
     last_lease: u64,
-    /// It rejects all requests of all clients.
+    /// Whether the store rejects all requests of all clients.
     pub is_down: bool,
-    /// Mutations that were requested, conflicting ones included.
+    /// Number of mutations requested so far, including those of conflicting transactions.
     pub mutation_count: usize,
 }
 
 impl SimulatedKvStore {
-    /// Revokes the leases that have expired.
+    /// Revokes the leases whose time to live has passed.
     pub fn expire_leases(&mut self, now: Micros) {
         let expired: Vec<u64> = self
             .leases
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Grants a lease.
+    /// Grants a new lease and returns its identifier.
     pub fn grant_lease(&mut self, now: Micros, ttl: Micros) -> LeaseId {
         self.last_lease += 1;
         let expires_at = now + ttl;
@@ -92,7 +94,7 @@
         LeaseId(self.last_lease)
     }
 
-    /// Ends a lease and deletes the keys that are bound to it.
+    /// Revokes a lease and deletes the keys that are bound to it.
     pub fn revoke_lease(&mut self, id: u64) -> Reply {
         if self.leases.remove(&id).is_none() {
             return Reply::LeaseExpired;
@@ -107,7 +109,7 @@
         Reply::Acknowledged
     }
 
-    /// Commits mutations without any check, under a new revision.
+    /// Commits mutations under a new revision, without any check.
     pub fn commit(&mut self, mutations: Vec<Mutation>) -> Reply {
         self.revision += 1;
         for mutation in mutations {
@@ -149,13 +151,14 @@
         }
     }
 
-    /// A transaction beyond the limits is malformed.
+    /// Panics if a transaction exceeds the limits, because the real store treats such a
+    /// transaction as malformed.
     fn check_limits(&mut self, compares: &[Compare], mutations: &[Mutation]) {
         let max_mutations = self.limits.transaction_mutations;
         assert!(
             mutations.len() <= max_mutations
                 && compares.len() <= COMPARES_PER_MUTATION * max_mutations,
-            "{} {}",
+            "{} mutations and {} compares in a transaction, the limit is {max_mutations} mutations",
             mutations.len(),
             compares.len()
         );
@@ -165,19 +168,21 @@
                 let length = value.to_string().len();
                 assert!(
                     length <= self.limits.value_bytes,
-                    "{key} has {length} bytes"
+                    "value of {key} has {length} bytes, the limit is {}",
+                    self.limits.value_bytes
                 );
                 bytes += length;
             }
         }
         assert!(
             bytes < MAX_TRANSACTION_BYTES,
-            "{bytes} bytes in a transaction"
+            "values of a transaction have {bytes} bytes, the limit is {MAX_TRANSACTION_BYTES}"
         );
         self.mutation_count += mutations.len();
     }
 
-    /// Commits the mutations if every compared key still has its revision.
+    /// Commits the mutations if every compared key has the expected revision. A key that does not
+    /// exist has revision 0.
     pub fn compare_and_swap(&mut self, compares: &[Compare], mutations: Vec<Mutation>) -> Reply {
         self.check_limits(compares, &mutations);
         let revision = |key: &str| self.keys.get(key).map_or(0, |stored| stored.revision);
@@ -203,7 +208,7 @@
         }
     }
 
-    /// Answers a request of a client.
+    /// Handles a client's request and returns the reply.
     pub fn handle_request(&mut self, now: Micros, request: Request) -> Reply {
         if self.is_down {
             return Reply::Rejected;
@@ -239,7 +244,7 @@
         }
     }
 
-    /// All entries that a controller lists when it starts.
+    /// Returns all entries that a controller lists when it starts.
     pub fn entries(&self) -> Vec<KeyValue> {
         self.keys
             .iter()
@@ -252,7 +257,7 @@
             .collect()
     }
 
-    /// The changes after a revision.
+    /// Returns the changes after a revision.
     pub fn events_after(&self, revision: u64) -> &[WatchEvent] {
         let first = self
             .watch_log
@@ -260,12 +265,12 @@
         &self.watch_log[first..]
     }
 
-    /// The value of a key that is there.
+    /// Returns the value of a key. Panics if the key does not exist.
     pub fn value(&self, key: &str) -> &Value {
         &self.keys[key].value
     }
 
-    /// How often a key was set so far.
+    /// Returns how many times a key has been set.
     pub fn write_count(&self, key: &str) -> usize {
         self.watch_log
             .iter()
@@ -273,7 +278,7 @@
             .count()
     }
 
-    /// The shards of all partitions' machine records, by key.
+    /// Iterates over the shards of machine records of all partitions, by key.
     pub fn machine_shards(&self) -> impl Iterator<Item = (&String, &Value)> {
         self.keys
             .iter()
--- a/src/controller/tests/simulation/mod.rs
+++ b/src/controller/tests/simulation/mod.rs
@@ -1,6 +1,8 @@
-//! A deterministic simulation of a cluster around the controllers' cores: a key-value store,
-//! a cloud, workers and users under one simulated clock, with the faults that the tests
-//! inject. It must never depend on the time, the threads or the network of its host.
+//! A deterministic simulation of a cluster around the controllers' cores.
+//!
+//! It simulates the key-value store, the cloud, the workers and the users under one simulated
+//! clock, and injects the faults that a test requests. A run must never depend on the clock,
+//! the threads or the network of its host.
 
 mod builder;
 mod cloud;
@@ -27,41 +29,43 @@
 use serde_json::Value;
 use users::SimulatedUsers;
 
-/// The zones that machines can be in.
+/// Zones in which machines can run.
 pub const ZONES: [&str; 3] = ["x", "y", "z"];
 
-/// A span of so many seconds.
+/// Converts a duration in seconds to microseconds.
 pub fn secs(seconds: f64) -> Micros {
     Micros::from_secs(seconds)
 }
 
-/// The whole cluster, composed of its stand-ins.
+/// A simulated cluster: the controllers and simulations of everything that they talk to.
 pub struct Simulation {
     /// The simulated clock.
     pub now: Micros,
     /// The key-value store.
     pub store: SimulatedKvStore,
-    /// The controllers, running or not.
+    /// All controllers, including those whose process is not running.
     pub controllers: Vec<ControllerNode>,
-    /// The workers of all machines, released ones included.
+    /// The workers of all machines, including released machines.
     pub workers: Vec<SimulatedWorker>,
     /// The cloud.
     pub cloud: SimulatedCloud,
-    /// What is held back, lost or copied on its way.
+    /// Messages that are held back or copied in transit.
     pub network: NetworkFaults,
-    /// What users did and were answered.
+    /// The users, with the jobs they submitted and the answers they received.
     pub users: SimulatedUsers,
     invariants: Invariants,
-    /// How long tasks run; none: until the test ends them.
+    /// Run time of each task. `None`: tasks run until the test ends them.
     pub task_duration: Option<Micros>,
-    /// After how long controllers that start from now on release an idle machine.
+    /// Idle time after which a controller releases a machine. Takes effect when a controller
+    /// starts.
     pub idle_release_after: Micros,
-    /// Records all effects, if the history is to be compared.
+    /// Records the effects of all controllers for comparison with a snapshot. `None`: nothing
+    /// is recorded.
     pub recorder: Option<WireRecorder>,
 }
 
 impl Simulation {
-    /// The recorded zone states, if there are any.
+    /// Returns the stored zone records, or `None` if none have been written.
     pub fn zone_records(&self) -> Option<&Value> {
         self.store.keys.get(keys::ZONES).map(|stored| &stored.value)
     }
--- a/src/controller/tests/simulation/network.rs
+++ b/src/controller/tests/simulation/network.rs
@@ -1,5 +1,7 @@
-//! Faults of the network and of processes: what is cut, held back, lost or copied on its
-//! way. It owns the messages in transit, and must never change one.
+//! Faults of the network and of processes: links that are cut, and messages that are held
+//! back, lost or copied.
+//!
+//! This module owns the messages in transit. It never changes the content of a message.
 
 use super::Simulation;
 use crate::api::ports::HeartbeatAnswer;
@@ -9,64 +11,65 @@
 use crate::workers::{DirectCommand, Heartbeat};
 use std::collections::BTreeSet;
 
-/// The request identifier of heartbeats whose answer nobody reads.
+/// Request identifier of late heartbeat copies, which no worker waits to be answered.
 const LATE_HEARTBEAT_REQUEST: u64 = 9;
 
-/// Faults of one controller and its links.
+/// Active faults of one controller and its links.
 #[derive(Default)]
 pub struct ControllerFaults {
-    /// It does not reach the store.
+    /// Requests of the controller do not reach the store.
     pub is_cut_from_store: bool,
-    /// The store rejects its requests alone.
+    /// The store rejects the requests of this controller only.
     pub is_rejected_by_store: bool,
-    /// Its transactions get no answer and are committed once this ends.
+    /// Transactions of the controller get no answer, and are committed only when the fault ends.
     pub has_delayed_writes: bool,
-    /// Its transactions are committed, but their answers are lost.
+    /// Transactions of the controller are committed, but the store's answers are lost.
     pub loses_write_answers: bool,
-    /// It does not reach the other controllers.
+    /// The controller and its peers do not receive each other's messages.
     pub is_cut_from_peers: bool,
-    /// It does not reach the workers, nor they it.
+    /// The controller and the workers do not receive each other's messages.
     pub is_cut_from_workers: bool,
-    /// Its process is paused while its clock runs on.
+    /// The controller's process is paused while its clock advances.
     pub is_paused: bool,
 }
 
 /// A transaction in transit.
 #[derive(Debug, Clone)]
 pub struct HeldTransaction {
-    /// Its conditions.
+    /// Key revisions that the transaction requires.
     pub compares: Vec<Compare>,
-    /// Its changes.
+    /// Mutations that the transaction commits.
     pub mutations: Vec<Mutation>,
 }
 
-/// A direct command on its way to a worker.
+/// A direct command in transit to a worker.
 #[derive(Clone)]
 pub struct SentCommand {
-    /// The index of the worker.
+    /// Index of the worker.
     pub worker: usize,
     /// The command.
     pub command: DirectCommand,
 }
 
-/// Messages that are held back or copied.
+/// Messages that are held back or copied in transit, and the faults that apply to them.
 #[derive(Default)]
 pub struct NetworkFaults {
-    /// Transactions without an answer, to be committed later.
+    /// Transactions that got no answer and have not reached the store yet.
     pub held_transactions: Vec<HeldTransaction>,
-    /// Transactions of partition owners are held back.
+    /// Whether the transactions of partition owners are held back.
     pub holds_owner_transactions: bool,
-    /// Direct commands that were held back.
+    /// Direct commands that got no answer and have not reached their worker yet.
     pub held_commands: Vec<SentCommand>,
-    /// Direct commands are held back.
+    /// Whether direct commands are held back.
     pub holds_commands: bool,
-    /// Those that were executed: a copy of any may arrive again.
+    /// Direct commands that reached their worker. A test may deliver copies of them again.
     pub delivered_commands: Vec<SentCommand>,
-    /// Heartbeats are copied, and those that a cut stops are kept, to arrive late.
+    /// Whether heartbeats are copied for late delivery. Heartbeats that an isolated worker could
+    /// not send are copied, too.
     pub copies_heartbeats: bool,
-    /// The copies so far.
+    /// Copies of heartbeats that have not been delivered yet.
     pub heartbeat_copies: Vec<Heartbeat>,
-    /// Machines that are added to these zones are isolated, too.
+    /// Isolated zones. Machines that are added to them later are isolated, too.
     pub isolated_zones: BTreeSet<&'static str>,
 }
 
@@ -86,17 +89,17 @@
         true
     }
 
-    /// The transactions held back so far, which are held no longer.
+    /// Removes and returns the transactions that are held back.
     pub fn take_held_transactions(&mut self) -> Vec<HeldTransaction> {
         std::mem::take(&mut self.held_transactions)
     }
 
-    /// The direct commands held back so far, which are held no longer.
+    /// Removes and returns the direct commands that are held back.
     pub fn take_held_commands(&mut self) -> Vec<SentCommand> {
         std::mem::take(&mut self.held_commands)
     }
 
-    /// Keeps a copy of a heartbeat if they are copied.
+    /// Keeps a copy of a heartbeat if `copies_heartbeats` is set.
     pub fn copy_heartbeat(&mut self, heartbeat: &Heartbeat) {
         if self.copies_heartbeats {
             self.heartbeat_copies.push(heartbeat.clone());
@@ -105,7 +108,8 @@
 }
 
 impl Simulation {
-    /// Carries a request of a controller to the store, as far as the faults allow.
+    /// Sends a controller's request to the store, subject to the active faults, and returns the
+    /// reply that the controller receives.
     pub(super) fn send_to_store(
         &mut self,
         controller: usize,
@@ -135,7 +139,8 @@
         self.store.handle_request(self.now, request)
     }
 
-    /// Carries a direct command to a worker, as far as the faults allow.
+    /// Sends a direct command to a worker, subject to the active faults, and returns the answer
+    /// that the controller receives.
     pub(super) fn send_command(
         &mut self,
         machine: &MachineId,
@@ -166,25 +171,26 @@
         DirectAnswer::Heartbeat(worker.handle_command(&command))
     }
 
-    /// The transactions held back so far reach the store; its replies are lost.
+    /// Delivers the transactions that are held back to the store and discards its replies.
     pub fn deliver_held_transactions(&mut self) {
         let held = self.network.take_held_transactions();
         self.deliver_transactions(held);
     }
 
-    /// Delayed transactions reach the store; its replies are lost.
+    /// Delivers delayed transactions to the store and discards its replies.
     pub fn deliver_transactions(&mut self, transactions: Vec<HeldTransaction>) {
         for held in transactions {
             self.store.compare_and_swap(&held.compares, held.mutations);
         }
     }
 
-    /// A direct command reaches its worker late, or once more.
+    /// Delivers a direct command to its worker, late or for a second time.
     pub fn deliver_command(&mut self, sent: &SentCommand) {
         self.workers[sent.worker].handle_command(&sent.command);
     }
 
-    /// A copy of a heartbeat reaches a controller late.
+    /// Delivers a late copy of a heartbeat to a controller and returns its answer. Returns `None`
+    /// if the controller is not running.
     pub fn deliver_late_heartbeat(
         &mut self,
         controller: usize,
@@ -197,7 +203,7 @@
         self.handle_input(controller, input)
     }
 
-    /// Cuts all workers of a zone off, those that are added later too, or connects them.
+    /// Isolates or reconnects all workers of a zone, including workers that are added later.
     pub fn set_zone_isolated(&mut self, zone: &'static str, is_isolated: bool) {
         if is_isolated {
             self.network.isolated_zones.insert(zone);
@@ -207,14 +213,15 @@
         self.set_current_workers_isolated(zone, is_isolated);
     }
 
-    /// Cuts the workers of a zone off that are there now, or connects them.
+    /// Isolates or reconnects the current workers of a zone. Workers that are added later are not
+    /// affected.
     pub fn set_current_workers_isolated(&mut self, zone: &str, is_isolated: bool) {
         for worker in self.workers.iter_mut().filter(|worker| worker.zone == zone) {
             worker.is_isolated = is_isolated;
         }
     }
 
-    /// Cuts all workers off, or connects them.
+    /// Isolates or reconnects all current workers.
     pub fn set_workers_isolated(&mut self, is_isolated: bool) {
         for worker in &mut self.workers {
             worker.is_isolated = is_isolated;
--- a/src/controller/tests/simulation/steps.rs
+++ b/src/controller/tests/simulation/steps.rs
@@ -1,5 +1,7 @@
-//! The clock and the step loop: in each step every controller, then every worker acts, and
-//! the invariants are checked.
+//! The simulated clock and the step loop.
+//!
+//! In each step, first every controller and then every worker acts. At the end of each step
+//! all invariants are checked.
 
 use super::worker::ExitCause;
 use super::{Simulation, secs};
@@ -7,17 +9,17 @@
 use crate::controller::messages::Input;
 use crate::ids::TaskId;
 
-/// The length of a step.
+/// Length of a simulation step.
 const STEP: Micros = Micros::from_millis(100);
-/// Seconds between two heartbeats of a worker.
+/// Time in seconds between two heartbeats of a worker.
 const HEARTBEAT_INTERVAL_S: f64 = 2.0;
-/// Seconds until a worker reports a task that has exited.
+/// Maximum time in seconds until a worker reports a task that has exited.
 const EXIT_HEARTBEAT_DELAY_S: f64 = 0.3;
-/// Seconds that a task with a mistake runs.
+/// Run time in seconds of a task of a failing job.
 const FAILING_TASK_DURATION_S: f64 = 1.0;
 
 impl Simulation {
-    /// Lets time pass in steps of 100 ms.
+    /// Advances the simulated clock in steps of 100 ms.
     pub fn advance(&mut self, seconds: f64) {
         let until = self.now + secs(seconds);
         while self.now < until {
@@ -25,13 +27,13 @@
         }
     }
 
-    /// Lets time pass until something holds, `timeout_s` seconds at most.
+    /// Advances the simulated clock until a condition holds. Panics after `timeout_s` seconds.
     pub fn advance_until(&mut self, timeout_s: f64, holds: impl Fn(&Simulation) -> bool) {
         let until = self.now + secs(timeout_s);
         while !holds(self) {
             assert!(
                 self.now < until,
-                "not within {timeout_s} s: {:?}",
+                "condition did not hold within {timeout_s} s; zone records: {:?}",
                 self.zone_records()
             );
             self.advance(0.1);
@@ -61,7 +63,7 @@
         self.check_invariants();
     }
 
-    /// What happens on a machine by itself: its lease expires, its tasks exit.
+    /// Advances a worker independently of any message: its lease expires and its tasks exit.
     fn step_worker(&mut self, index: usize) {
         let lease = secs(self.worker_lease_s());
         let (now, failing_jobs) = (self.now, &self.users.failing_jobs);
@@ -95,19 +97,19 @@
         }
     }
 
-    /// The workers that run a task now.
+    /// Returns the indices of the workers that are running a task.
     pub fn workers_running(&self, task: &str) -> Vec<usize> {
         (0..self.workers.len())
             .filter(|index| self.workers[*index].is_running(task))
             .collect()
     }
 
-    /// All tasks that run now.
+    /// Returns the number of running tasks.
     pub fn running_count(&self) -> usize {
         self.running_count_of("")
     }
 
-    /// The tasks that run now and whose identifier begins with a prefix.
+    /// Returns the number of running tasks whose identifier begins with a prefix.
     pub fn running_count_of(&self, prefix: &str) -> usize {
         self.workers
             .iter()
@@ -115,7 +117,7 @@
             .sum()
     }
 
-    /// A task succeeds, wherever it runs.
+    /// Makes a task exit successfully on every worker that has it.
     pub fn finish(&mut self, task: &str) {
         for worker in &mut self.workers {
             if let Some(attempt) = worker.tasks.get_mut(task) {
@@ -124,12 +126,12 @@
         }
     }
 
-    /// All tasks that run succeed.
+    /// Makes all running tasks exit successfully.
     pub fn finish_all(&mut self) {
         self.exit_all_of("", ExitCause::Done);
     }
 
-    /// All tasks exit that run and whose identifier begins with a prefix.
+    /// Makes all running tasks exit whose identifier begins with a prefix.
     pub fn exit_all_of(&mut self, prefix: &str, cause: ExitCause) {
         let tasks = self
             .workers
--- a/src/controller/tests/simulation/users.rs
+++ b/src/controller/tests/simulation/users.rs
@@ -1,5 +1,6 @@
-//! Users: what they submit and cancel, and what status queries answer them. They must
-//! never change a job's record otherwise.
+//! Simulated users: they submit jobs, cancel jobs and query the status of jobs.
+//!
+//! Users change a job's record only by submission and cancellation.
 
 use super::Simulation;
 use crate::api::read_index::JobLookup;
@@ -13,29 +14,29 @@
 /// The answer to a status query.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LookupAnswer {
-    /// The controller that answered.
+    /// Index of the controller that answered.
     pub controller: usize,
-    /// The query's identifier.
+    /// Identifier of the query.
     pub request_id: u64,
-    /// How the job stands.
+    /// Status of the job.
     pub lookup: JobLookup,
 }
 
-/// The users of the simulation.
+/// The users of a simulation.
 #[derive(Default)]
 pub struct SimulatedUsers {
-    /// All jobs that were accepted.
+    /// All jobs that were accepted, by identifier.
     pub submitted: BTreeMap<JobId, JobDesc>,
-    /// When each cancellation was confirmed.
+    /// Time at which the cancellation of a job was confirmed, by job.
     pub cancelled_at: BTreeMap<JobId, Micros>,
-    /// Jobs submitted with a mistake: each task fails a second after its start.
+    /// Jobs whose tasks all fail one second after their start.
     pub failing_jobs: BTreeSet<JobId>,
-    /// Answers to status queries, in their order.
+    /// Answers to status queries, in order of arrival.
     pub lookups: Vec<LookupAnswer>,
 }
 
 impl SimulatedUsers {
-    /// Keeps the answer to a status query.
+    /// Records the answer to a status query.
     pub fn record_lookup(&mut self, controller: usize, request_id: u64, lookup: JobLookup) {
         self.lookups.push(LookupAnswer {
             controller,
@@ -44,12 +45,12 @@
         });
     }
 
-    /// The answers so far, which are kept no longer.
+    /// Removes and returns the answers recorded so far.
     pub fn take_lookups(&mut self) -> Vec<LookupAnswer> {
         std::mem::take(&mut self.lookups)
     }
 
-    /// Whether a job was cancelled, itself or with one of its dependencies.
+    /// Returns whether a job or one of its direct or transitive dependencies was cancelled.
     pub fn is_cancelled(&self, id: &JobId) -> bool {
         let dependencies = self
             .submitted
@@ -69,7 +70,8 @@
         self.submit_to(job, 0);
     }
 
-    /// Submits a job to the partition that its team is in.
+    /// Submits a job to the given partition, which must be the partition of the job's team.
+    /// Panics if the store does not commit the submission.
     pub fn submit_to(&mut self, job: &JobDesc, partition: u64) {
         self.users.submitted.insert(job.id.clone(), job.clone());
         let owner_key = keys::partition_owner(PartitionId(partition));
@@ -92,7 +94,7 @@
         assert!(matches!(reply, Reply::Committed(_)), "{reply:?}");
     }
 
-    /// Cancels a job in the store; no controller is notified.
+    /// Cancels a job by writing to the store. No controller is notified.
     pub fn cancel(&mut self, id: &str) {
         let id = JobId::from(id);
         let record = EndedRecord {
@@ -108,22 +110,22 @@
         ]);
     }
 
-    /// Cancels a job as a user's request to a controller does: in the store first, and then
-    /// the controller notifies its peers.
+    /// Cancels a job as a user's request to a controller does: the cancellation is written to the
+    /// store, and then the controller notifies its peers.
     pub fn cancel_through(&mut self, controller: usize, id: &str) {
         self.cancel(id);
         let (job, revision) = (id.into(), Revision(self.store.revision));
         self.handle_input(controller, Input::Cancelled { job, revision });
     }
 
-    /// Queries a controller for a job's status; `advance` a little to have the answer among
-    /// the users' lookups.
+    /// Queries a controller for a job's status. The answer is added to the users' lookups once
+    /// the simulation has advanced.
     pub fn query_job(&mut self, controller: usize, id: &str, request_id: u64) {
         let id = id.into();
         self.handle_input(controller, Input::JobLookup { id, request_id });
     }
 
-    /// The stored state of a job that has ended.
+    /// Returns the stored state of a job that has ended, or `None` if no end is stored.
     pub fn ended_state(&self, id: &str) -> Option<JobState> {
         let stored = self.store.keys.get(&keys::ended(&JobId::from(id)))?;
         serde_json::from_value::<EndedRecord>(stored.value.clone())
@@ -131,7 +133,7 @@
             .map(|record| record.state)
     }
 
-    /// Whether any task of a job has started.
+    /// Returns whether any task of a job has started.
     pub fn has_started(&self, id: &str) -> bool {
         let prefix = format!("{id}/");
         self.ended_state(id) == Some(JobState::Done)
--- a/src/controller/tests/simulation/worker.rs
+++ b/src/controller/tests/simulation/worker.rs
@@ -1,6 +1,8 @@
-//! The stand-in of a worker: a machine's agent whose images are there at once and whose
-//! tasks run until the test ends them. It owns the attempts on its machine, and must never
-//! execute a command whose fencing token or agent epoch is outdated.
+//! A simulated worker: the agent on a machine. Images need no download time, and tasks run
+//! until the simulation ends them.
+//!
+//! A worker owns the attempts on its machine. It never executes a direct command whose fencing
+//! token or agent epoch is outdated.
 
 use crate::clock::Micros;
 use crate::ids::{FencingToken, MachineId};
@@ -12,45 +14,45 @@
 /// Why a task's process exited.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ExitCause {
-    /// It succeeded.
+    /// The task succeeded.
     Done,
-    /// It was stopped by a command.
+    /// A command stopped the task.
     Stopped,
-    /// It failed.
+    /// The task failed.
     Error,
 }
 
 /// The state of an attempt on a machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AttemptState {
-    /// Its process runs.
+    /// The task's process is running.
     Running,
-    /// Its process exited, and it is not reaped yet.
+    /// The task's process has exited, and the attempt has not been reaped.
     Exited(ExitCause),
 }
 
-/// An attempt at a task on a machine.
+/// An attempt to run a task on a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskAttempt {
-    /// The attempt's number.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// Its state.
+    /// State of the attempt.
     pub state: AttemptState,
 }
 
 impl TaskAttempt {
-    /// Whether its process runs.
+    /// Returns whether the task's process is running.
     pub fn is_running(&self) -> bool {
         self.state == AttemptState::Running
     }
 
-    /// Ends its process.
+    /// Makes the task's process exit.
     pub fn exit(&mut self, cause: ExitCause) {
         self.state = AttemptState::Exited(cause);
     }
 
-    /// Its entry of a heartbeat on the wire.
-    fn wire(&self, task: &str) -> Value {
+    /// Returns the attempt's entry in a heartbeat, in the wire format.
+    fn to_wire(&self, task: &str) -> Value {
         let (state, cause) = match self.state {
             AttemptState::Running => ("running", None),
             AttemptState::Exited(ExitCause::Done) => ("exited", Some("done")),
@@ -63,53 +65,53 @@
 
 /// A launch that a worker executed.
 pub struct Launch {
-    /// The task's identifier.
+    /// Identifier of the task.
     pub task: String,
-    /// The attempt's number.
+    /// Number of the attempt.
     pub attempt: u64,
 }
 
 /// A worker of the simulation.
 pub struct SimulatedWorker {
-    /// Its machine.
+    /// Identifier of the worker's machine.
     pub id: MachineId,
-    /// The type of its machine.
+    /// Type of the worker's machine.
     pub machine_type: &'static str,
-    /// The zone of its machine.
+    /// Zone of the worker's machine.
     pub zone: &'static str,
-    /// It grows whenever its lease expires.
+    /// Epoch of the agent, which increases each time the worker's lease expires.
     pub agent_epoch: u64,
-    /// The number of its last heartbeat.
+    /// Sequence number of the worker's last heartbeat.
     pub heartbeat_sequence: u64,
-    /// The highest token that it has accepted.
+    /// Highest fencing token that the worker has accepted.
     pub fencing_token: FencingToken,
-    /// The token that its last heartbeat carried.
+    /// Fencing token in the worker's last heartbeat.
     pub last_sent_token: FencingToken,
-    /// Its attempts, by task.
+    /// Attempts on the machine, by task.
     pub tasks: BTreeMap<String, TaskAttempt>,
-    /// The controller that answered it last.
+    /// Controller that accepted the worker's last heartbeat, which receives the next one first.
     pub controller: Option<usize>,
-    /// It is cut off in both directions.
+    /// Whether the worker is isolated: no message from it or to it arrives.
     pub is_isolated: bool,
-    /// Its heartbeats arrive, but answers and direct commands don't reach it.
+    /// Whether answers and direct commands to the worker are lost, while its heartbeats arrive.
     pub is_unreachable: bool,
-    /// Its heartbeats don't arrive, but direct commands reach it.
+    /// Whether the worker's heartbeats are lost, while direct commands reach it.
     pub loses_heartbeats: bool,
-    /// Its process is paused: it does nothing, and what is sent to it is queued.
+    /// Whether the worker's process is paused: it does nothing, and direct commands are queued.
     pub is_paused: bool,
     queued_commands: Vec<DirectCommand>,
-    /// Launches that the invariants have not checked yet.
+    /// Launches that the invariant checks have not seen.
     pub launches: Vec<Launch>,
-    /// When each running task started.
+    /// Start time of each running task.
     pub started_at: BTreeMap<String, Micros>,
-    /// When its lease was renewed last.
+    /// Time at which the worker's lease was last renewed.
     pub last_answer_at: Micros,
-    /// When it sends its next heartbeat.
+    /// Time at which the worker sends its next heartbeat.
     pub next_heartbeat_at: Micros,
 }
 
 impl SimulatedWorker {
-    /// The machine of a number, without tasks.
+    /// Creates a worker without tasks on the machine with the given number.
     pub fn new(number: usize, machine_type: &'static str, zone: &'static str, now: Micros) -> Self {
         SimulatedWorker {
             id: MachineId::from(format!("m-{number:06}")),
@@ -133,27 +135,27 @@
         }
     }
 
-    /// The next heartbeat.
+    /// Returns the next heartbeat.
     pub fn heartbeat(&mut self) -> Heartbeat {
         let address = format!("{}:1", self.id);
         serde_json::from_value(self.heartbeat_body(&address)).expect("a heartbeat")
     }
 
-    /// The next heartbeat as it is on the wire.
+    /// Returns the next heartbeat in the wire format.
     pub fn heartbeat_body(&mut self, address: &str) -> Value {
         self.heartbeat_sequence += 1;
         self.last_sent_token = self.fencing_token;
         let tasks: Vec<Value> = self
             .tasks
             .iter()
-            .map(|(task, attempt)| attempt.wire(task))
+            .map(|(task, attempt)| attempt.to_wire(task))
             .collect();
         json!({"rig": self.id, "addr": address, "build": self.machine_type, "yard": self.zone,
             "loaners": false, "shift": self.agent_epoch, "tally": self.heartbeat_sequence,
             "baton": self.fencing_token, "hands": tasks})
     }
 
-    /// Executes commands; a launch of a task that it has already changes nothing.
+    /// Executes commands. A launch of a task that already has an attempt here has no effect.
     pub fn execute(&mut self, commands: &[WorkerCommand]) {
         for command in commands {
             match command {
@@ -185,7 +187,8 @@
         }
     }
 
-    /// Executes a direct command unless it is fenced, and answers with a heartbeat.
+    /// Executes a direct command unless its fencing token or agent epoch is outdated. Answers with
+    /// a heartbeat in either case.
     pub fn handle_command(&mut self, command: &DirectCommand) -> Heartbeat {
         if command.fencing_token >= self.fencing_token && command.agent_epoch == self.agent_epoch {
             self.fencing_token = command.fencing_token;
@@ -194,19 +197,19 @@
         self.heartbeat()
     }
 
-    /// Keeps a direct command until the process continues.
+    /// Queues a direct command until the process resumes.
     pub fn queue_command(&mut self, command: DirectCommand) {
         self.queued_commands.push(command);
     }
 
-    /// Handles what was queued during a pause, if it still matches.
+    /// Handles the direct commands that were queued during a pause.
     pub fn handle_queued_commands(&mut self) {
         for command in std::mem::take(&mut self.queued_commands) {
             self.handle_command(&command);
         }
     }
 
-    /// Ends all tasks once its lease has expired.
+    /// Ends all tasks and begins a new agent epoch if the worker's lease has expired.
     pub fn expire_lease(&mut self, now: Micros, lease: Micros) {
         if now.since(self.last_answer_at) > lease {
             self.agent_epoch += 1;
@@ -215,7 +218,7 @@
         }
     }
 
-    /// The process restarts: it has lost all its state.
+    /// Restarts the worker's process, which loses all its state.
     pub fn restart(&mut self, now: Micros) {
         self.agent_epoch = 1;
         self.heartbeat_sequence = 0;
@@ -225,7 +228,7 @@
         self.tasks.clear();
     }
 
-    /// Its running tasks whose identifier begins with a prefix.
+    /// Iterates over the running tasks whose identifier begins with a prefix.
     pub fn running_tasks<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a str> {
         self.tasks
             .iter()
@@ -234,7 +237,7 @@
             .filter(move |task| task.starts_with(prefix))
     }
 
-    /// Whether it runs a task.
+    /// Returns whether the worker is running a task.
     pub fn is_running(&self, task: &str) -> bool {
         self.tasks.get(task).is_some_and(TaskAttempt::is_running)
     }
