--- a/src/controller/tests/fault_pairs/history.rs
+++ b/src/controller/tests/fault_pairs/history.rs
@@ -1,5 +1,7 @@
-//! A seeded history: users beside planned faults, and the end of all that was submitted.
-//! All random draws come from one generator; their order is part of each seed's history.
+//! A seeded history: users act while planned faults are active, and then all jobs must end.
+//!
+//! All random values come from one generator. The order of the draws determines each seed's
+//! history, so a changed order changes the snapshots of the characterization tests.
 
 use super::HistoryKind;
 use super::fault::{Fault, PlannedFault};
@@ -16,38 +18,42 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
+/// Number of controllers.
 const CONTROLLERS: usize = 3;
+/// Number of machines at the start.
 const MACHINES: usize = 6;
-/// Seconds that a task runs.
+/// Run time of a task in seconds.
 const TASK_DURATION_S: f64 = 6.0;
-/// Seconds that a fault lasts: around the leases as well as much shorter and longer.
+/// Durations of faults in seconds: close to the duration of the leases, and much shorter and
+/// longer.
 const FAULT_DURATIONS_S: [f64; 7] = [0.3, 2.0, 6.0, 15.0, 25.0, 40.0, 70.0];
-/// Seconds after the faults until failing jobs are cancelled.
+/// Time in seconds from the end of the faults until failing jobs are cancelled.
 const SECONDS_AFTER_FAULTS: usize = 30;
-/// Seconds after that until all jobs have ended.
+/// Maximum time in seconds from the cancellation of failing jobs until all jobs have ended.
 const MAX_SECONDS_TO_END: usize = 240;
-/// Jobs submitted last, from which dependencies are drawn.
+/// Number of most recently submitted jobs from which dependencies are drawn.
 const RECENT_JOBS: usize = 4;
 
-/// There are only six machines, two of them in the smaller zone.
+/// Subsystems file for histories with a lost zone. Its limits are low because there are only six
+/// machines, two of them in the smaller zone.
 const ZONE_FAILOVER: &str = "[zone-failover]\nenabled = true\n[zone-failover.health]\n\
                              least-machines = 2\n[zone-failover.waves]\nmachines = 1\ntasks = 2\n\
                              [zone-failover.return]\nmove-running = true";
 
 /// A simulation with users and planned faults.
 pub struct FaultHistory {
-    /// The simulation.
+    /// The simulated cluster.
     pub simulation: Simulation,
-    /// The source of all random draws.
+    /// Generator of all random values.
     pub rng: StdRng,
     jobs: Vec<JobId>,
     kind: HistoryKind,
-    /// The state that users were answered first of each job that has ended, by its index.
-    answered_ends: BTreeMap<usize, JobState>,
+    /// First end state that was reported to users for a job, by the job's index.
+    reported_end_states: BTreeMap<usize, JobState>,
 }
 
 impl FaultHistory {
-    /// The history of a seed, once its machines are adopted.
+    /// Creates the history of a seed and advances it until its machines are adopted.
     pub fn new(seed: u64, kind: HistoryKind) -> FaultHistory {
         let mut simulation = Simulation::new(CONTROLLERS, MACHINES);
         simulation.cloud.has_capacity = true;
@@ -57,7 +63,8 @@
         }
         if kind == HistoryKind::LostZone {
             let settings = simulation.controllers[0].settings.clone();
-            let subsystems = Subsystems::parse(ZONE_FAILOVER, &settings).expect("a file");
+            let subsystems =
+                Subsystems::parse(ZONE_FAILOVER, &settings).expect("a valid subsystems file");
             for controller in &mut simulation.controllers {
                 controller.subsystems = subsystems.clone();
             }
@@ -69,11 +76,11 @@
             rng: StdRng::seed_from_u64(seed),
             jobs: Vec::new(),
             kind,
-            answered_ends: BTreeMap::new(),
+            reported_end_states: BTreeMap::new(),
         }
     }
 
-    /// Draws whom a fault hits and how long it lasts.
+    /// Draws the targets and the duration of a fault.
     pub fn plan(&mut self, fault: Fault, starts_at: Micros) -> PlannedFault {
         let hits_owner = self.rng.random_bool(0.6);
         let any_controller = self.rng.random_range(0..CONTROLLERS);
@@ -93,9 +100,9 @@
         }
     }
 
-    fn set(&mut self, planned: &PlannedFault, is_on: bool) {
-        planned.set(&mut self.simulation, is_on);
-        if planned.fault == Fault::CancellationOfAll && is_on {
+    fn set_active(&mut self, planned: &PlannedFault, is_active: bool) {
+        planned.set_active(&mut self.simulation, is_active);
+        if planned.fault == Fault::CancellationOfAll && is_active {
             for id in self.jobs.clone() {
                 self.cancel(&id);
             }
@@ -110,8 +117,12 @@
 
     fn draw_job(&mut self) -> JobDesc {
         let mut job = desc(&format!("j-{}", 100 + self.jobs.len()), 1);
-        job.tasks = *[1, 2, 3, 5].choose(&mut self.rng).expect("one");
-        job.cores = *[1.0, 2.0, 4.0, 8.0].choose(&mut self.rng).expect("one");
+        job.tasks = *[1, 2, 3, 5]
+            .choose(&mut self.rng)
+            .expect("at least one value");
+        job.cores = *[1.0, 2.0, 4.0, 8.0]
+            .choose(&mut self.rng)
+            .expect("at least one value");
         job.team = ["red", "blue"][self.rng.random_range(0..2)].into();
         job.deadline_s = self.rng.random_bool(0.5).then_some(60.0);
         job.checkpoint_interval_s = if self.rng.random_bool(0.3) { 5.0 } else { 0.0 };
@@ -129,7 +140,7 @@
             && !self.jobs.is_empty()
             && self.rng.random_bool(0.6);
         if has_dependencies {
-            // Mostly jobs submitted just now, of any team and in any state.
+            // Dependencies are recent jobs of any team and in any state.
             let recent = self.jobs.len().saturating_sub(RECENT_JOBS);
             job.dependencies = (0..2)
                 .filter_map(|_| self.jobs[recent..].choose(&mut self.rng).cloned())
@@ -139,23 +150,25 @@
         job
     }
 
-    /// Cancels a job through a controller that reaches the store, which notifies its peers.
+    /// Cancels a live job through the first controller that reaches the store. That controller
+    /// notifies its peers. Does nothing if there is no such controller.
     fn cancel(&mut self, id: &JobId) {
         let simulation = &mut self.simulation;
         let is_live = simulation.store.keys.contains_key(&keys::job(id));
-        let able = simulation
+        let controller = simulation
             .controllers
             .iter()
             .position(|controller| controller.is_running() && controller.reaches_store());
-        if let Some(controller) = able.filter(|_| is_live && !simulation.store.is_down) {
+        if let Some(controller) = controller.filter(|_| is_live && !simulation.store.is_down) {
             simulation.cancel_through(controller, id.as_str());
         }
     }
 
-    /// A second in which users act once.
-    pub fn play_second(&mut self, submits: bool) {
-        let is_granted = self.simulation.store.keys.contains_key("r/blocks/0/holder");
-        if submits && is_granted && !self.simulation.store.is_down && self.rng.random_bool(0.25) {
+    /// Draws the users' actions and advances the simulation by one second. With `may_submit`, the
+    /// actions may include the submission of a job.
+    pub fn run_one_second(&mut self, may_submit: bool) {
+        let has_owner = self.simulation.store.keys.contains_key("r/blocks/0/holder");
+        if may_submit && has_owner && !self.simulation.store.is_down && self.rng.random_bool(0.25) {
             self.submit();
         }
         if self.rng.random_bool(0.05)
@@ -194,7 +207,8 @@
         }
     }
 
-    /// No answer is taken back, and no job is lost.
+    /// Checks the answers to status queries: no controller reports a different state for a job that
+    /// was reported as ended, and no accepted job is reported as not found.
     fn check_lookups(&mut self) {
         for answer in self.simulation.users.take_lookups() {
             self.check_lookup(answer);
@@ -207,31 +221,42 @@
         let id = &self.jobs[job];
         match answer.lookup {
             JobLookup::Unavailable => {}
-            JobLookup::NotFound => panic!("{id} is lost at controller {controller}"),
+            JobLookup::NotFound => {
+                panic!("controller {controller} does not find the accepted job {id}")
+            }
             JobLookup::Live { .. } => {
                 assert_eq!(
-                    self.answered_ends.get(&job),
+                    self.reported_end_states.get(&job),
                     None,
-                    "{id} is live again at controller {controller}"
+                    "controller {controller} reports {id} as live after its end was reported"
                 );
-                // Cancellations of this second came before its queries.
+                // Cancellations precede the queries of the same second, so the answer must include
+                // them.
                 let is_cancelled = self.simulation.users.is_cancelled(id);
                 assert!(
                     !is_cancelled,
-                    "{id} is cancelled, but not at controller {controller}"
+                    "controller {controller} reports the cancelled job {id} as live"
                 );
             }
             JobLookup::Ended(record) => {
-                let first = *self.answered_ends.entry(job).or_insert(record.state);
-                assert_eq!(first, record.state, "{id} at controller {controller}");
+                let first = *self.reported_end_states.entry(job).or_insert(record.state);
+                assert_eq!(
+                    first, record.state,
+                    "controller {controller} reports another end state of {id}"
+                );
                 let is_cancelled = self.simulation.users.is_cancelled(id);
-                assert_eq!(is_cancelled, record.state == JobState::Cancelled, "{id}");
+                assert_eq!(
+                    is_cancelled,
+                    record.state == JobState::Cancelled,
+                    "end state of {id} contradicts the users' cancellations"
+                );
             }
         }
     }
 
-    /// Plays the faults, and then the end of all jobs.
-    pub fn play(&mut self, mut pending: Vec<PlannedFault>) {
+    /// Runs the planned faults, which must be ordered by start, and then waits until all jobs have
+    /// ended.
+    pub fn run(&mut self, mut pending: Vec<PlannedFault>) {
         let mut active: Vec<PlannedFault> = Vec::new();
         while let Some(last_end) = pending
             .iter()
@@ -242,7 +267,7 @@
             let now = self.simulation.now;
             while pending.first().is_some_and(|next| now >= next.starts_at) {
                 let planned = pending.remove(0);
-                self.set(&planned, true);
+                self.set_active(&planned, true);
                 active.push(planned);
             }
             if now >= last_end {
@@ -251,34 +276,38 @@
             for index in (0..active.len()).rev() {
                 if now >= active[index].ends_at {
                     let planned = active.remove(index);
-                    self.set(&planned, false);
+                    self.set_active(&planned, false);
                 }
             }
-            self.play_second(true);
+            self.run_one_second(true);
         }
         for planned in active {
-            self.set(&planned, false);
+            self.set_active(&planned, false);
         }
         self.finish();
     }
 
-    /// The faults are over: failing jobs are cancelled, all others are done, and every
-    /// controller knows every job.
+    /// Runs the time after the faults: cancels the failing jobs, waits until all jobs have ended,
+    /// and checks that every controller answers a status query for every job.
     fn finish(&mut self) {
         self.simulation.network.copies_heartbeats = false;
-        self.play_second(true);
+        self.run_one_second(true);
         for _ in 0..SECONDS_AFTER_FAULTS {
-            self.play_second(false);
+            self.run_one_second(false);
         }
         for id in self.simulation.users.failing_jobs.clone() {
             self.cancel(&id);
         }
         let mut seconds_left = MAX_SECONDS_TO_END;
-        while self.first_open_job().is_some() && seconds_left > 0 {
-            self.play_second(false);
+        while self.first_unfinished_job().is_some() && seconds_left > 0 {
+            self.run_one_second(false);
             seconds_left -= 1;
         }
-        assert_eq!(self.first_open_job(), None, "not ended {seconds_left}");
+        assert_eq!(
+            self.first_unfinished_job(),
+            None,
+            "a job did not end within {MAX_SECONDS_TO_END} s"
+        );
         self.simulation.users.lookups.clear();
         for controller in 0..CONTROLLERS {
             for job in 0..self.jobs.len() {
@@ -293,7 +322,7 @@
         self.check_lookups();
     }
 
-    fn first_open_job(&self) -> Option<&JobId> {
+    fn first_unfinished_job(&self) -> Option<&JobId> {
         self.jobs
             .iter()
             .find(|id| self.simulation.ended_state(id.as_str()).is_none())
--- a/src/controller/tests/loopback/cloud.rs
+++ b/src/controller/tests/loopback/cloud.rs
@@ -1,25 +1,26 @@
-//! The cloud's HTTP protocol: it lists and releases machines, and never has capacity.
+//! A fake cloud that speaks the cloud's HTTP protocol. It lists and releases machines, and
+//! rejects every scale-out for lack of capacity.
 
-use super::site::{SharedSite, body, listen, respond};
+use super::environment::{SharedEnvironment, body, listen, respond};
 use salvo::prelude::{Request, Response, Router, handler};
 use serde_json::{Value, json};
 
-/// Serves the cloud, and returns its address.
-pub async fn serve(site: &SharedSite) -> String {
+/// Starts the HTTP server of the cloud and returns its address.
+pub async fn serve(environment: &SharedEnvironment) -> String {
     let machines = Router::with_path("machines")
-        .get(Machines(site.clone()))
+        .get(Machines(environment.clone()))
         .post(NoCapacity);
     let router = Router::new()
-        .push(Router::with_path("machine_types").get(MachineTypes(site.clone())))
+        .push(Router::with_path("machine_types").get(MachineTypes(environment.clone())))
         .push(machines)
-        .push(Router::with_path("machines/return").post(Release(site.clone())));
+        .push(Router::with_path("machines/return").post(Release(environment.clone())));
     listen(router).await
 }
 
-struct MachineTypes(SharedSite);
-struct Machines(SharedSite);
+struct MachineTypes(SharedEnvironment);
+struct Machines(SharedEnvironment);
 struct NoCapacity;
-struct Release(SharedSite);
+struct Release(SharedEnvironment);
 
 #[handler]
 impl MachineTypes {
@@ -32,11 +33,12 @@
 #[handler]
 impl Machines {
     async fn handle(&self, response: &mut Response) {
-        let site = self.0.lock();
-        let machines: Vec<Value> = (0..site.workers.len())
-            .filter(|index| !site.released.contains(index))
+        let environment = self.0.lock();
+        let machines: Vec<Value> = (0..environment.workers.len())
+            .filter(|index| !environment.released.contains(index))
             .map(|index| {
-                let (worker, address) = (&site.workers[index], &site.addresses[index]);
+                let (worker, address) =
+                    (&environment.workers[index], &environment.addresses[index]);
                 json!({"id": worker.id, "addr": address, "build": worker.machine_type,
                        "yard": worker.zone, "loaners": false, "standing": "running",
                        "heldS": 60.0})
@@ -59,11 +61,11 @@
         let body = body(request).await;
         let machines = body["rigs"].as_array().into_iter().flatten();
         let machines: Vec<&str> = machines.filter_map(Value::as_str).collect();
-        let mut site = self.0.lock();
-        for index in 0..site.workers.len() {
-            if machines.contains(&site.workers[index].id.as_str()) {
-                site.workers[index].tasks.clear();
-                site.released.insert(index);
+        let mut environment = self.0.lock();
+        for index in 0..environment.workers.len() {
+            if machines.contains(&environment.workers[index].id.as_str()) {
+                environment.workers[index].tasks.clear();
+                environment.released.insert(index);
             }
         }
         respond(response, 200, &json!({}));
--- a/src/controller/tests/loopback/site.rs
+++ b/src/controller/tests/loopback/environment.rs
@@ -1,4 +1,5 @@
-//! The state behind all stand-ins that listen on loopback, shared by their handlers.
+//! The environment of the controllers: the state of the fake store, cloud and workers, shared by
+//! the handlers of their HTTP servers.
 
 use crate::clock::Micros;
 use crate::cloud::MachineType;
@@ -13,41 +14,42 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
-/// The start of a task on a machine.
+/// A launch of a task on a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskStart {
-    /// When it was launched.
+    /// Time of the launch.
     pub at: Micros,
-    /// The task.
+    /// Identifier of the task.
     pub task: String,
 }
 
 /// The state of the store, the cloud and the workers.
-pub struct Site {
+pub struct Environment {
     started_at: Instant,
     /// The key-value store.
     pub store: SimulatedKvStore,
     /// The workers of all machines.
     pub workers: Vec<SimulatedWorker>,
-    /// Where each worker listens.
+    /// Listen address of each worker, by index.
     pub addresses: Vec<String>,
-    /// The cloud's machine types.
+    /// Machine types that the cloud offers.
     pub machine_types: Vec<MachineType>,
     worker_lease: Micros,
-    /// How long tasks run; none: until the test sets it.
+    /// Run time of each task. `None`: tasks do not exit by themselves.
     pub task_duration: Option<Micros>,
-    /// Machines that are cut off in both directions, with their tasks.
+    /// Indices of isolated workers: no message from them or to them arrives, and their tasks keep
+    /// running.
     pub isolated: BTreeSet<usize>,
-    /// Machines that were released.
+    /// Indices of workers whose machines were released.
     pub released: BTreeSet<usize>,
-    /// All starts, in their order.
+    /// All launches, in order.
     pub starts: Vec<TaskStart>,
 }
 
-impl Site {
-    /// A site without machines.
-    pub fn new(machine_types: Vec<MachineType>, worker_lease: Micros) -> Site {
-        Site {
+impl Environment {
+    /// Creates an environment without machines.
+    pub fn new(machine_types: Vec<MachineType>, worker_lease: Micros) -> Environment {
+        Environment {
             started_at: Instant::now(),
             store: SimulatedKvStore::default(),
             workers: Vec::new(),
@@ -61,17 +63,17 @@
         }
     }
 
-    /// The time since the site was made.
+    /// Returns the time since the environment was created.
     pub fn now(&self) -> Micros {
         Micros(self.started_at.elapsed().as_micros() as u64)
     }
 
-    /// Whether a worker's messages arrive.
+    /// Returns whether a worker is neither isolated nor released.
     pub fn is_connected(&self, worker: usize) -> bool {
         !self.isolated.contains(&worker) && !self.released.contains(&worker)
     }
 
-    /// What happens on a machine by itself: its lease expires and its tasks exit.
+    /// Advances a worker independently of any message: its lease expires and its tasks exit.
     pub fn step_worker(&mut self, index: usize) {
         let (now, lease, duration) = (self.now(), self.worker_lease, self.task_duration);
         let worker = &mut self.workers[index];
@@ -89,7 +91,7 @@
         worker.started_at.retain(|task, _| tasks.contains_key(task));
     }
 
-    /// A worker executes commands.
+    /// Makes a worker execute commands, and records the launches.
     pub fn execute(&mut self, index: usize, commands: &[WorkerCommand]) {
         let at = self.now();
         let worker = &mut self.workers[index];
@@ -109,7 +111,8 @@
             .map(|(_, worker)| worker)
     }
 
-    /// Tasks that run on two machines now; a released machine runs nothing.
+    /// Returns the tasks that are running on more than one machine. Released machines do not
+    /// count.
     pub fn duplicate_tasks(&self) -> Vec<String> {
         let mut seen = BTreeSet::new();
         self.live_workers()
@@ -119,53 +122,53 @@
             .collect()
     }
 
-    /// All tasks that run now.
+    /// Returns the number of running tasks.
     pub fn running_count(&self) -> usize {
         self.live_workers()
             .map(|worker| worker.running_tasks("").count())
             .sum()
     }
 
-    /// Answers a request to the store.
+    /// Sends a request to the store and returns the reply.
     pub fn send_to_store(&mut self, request: Request) -> Reply {
         let now = self.now();
         self.store.handle_request(now, request)
     }
 }
 
-/// The site, shared by all that listen.
+/// A handle to the environment that all HTTP handlers share.
 #[derive(Clone)]
-pub struct SharedSite(Arc<Mutex<Site>>);
+pub struct SharedEnvironment(Arc<Mutex<Environment>>);
 
-impl SharedSite {
-    /// Shares a site.
-    pub fn new(site: Site) -> SharedSite {
-        SharedSite(Arc::new(Mutex::new(site)))
+impl SharedEnvironment {
+    /// Creates a shared handle to an environment.
+    pub fn new(environment: Environment) -> SharedEnvironment {
+        SharedEnvironment(Arc::new(Mutex::new(environment)))
     }
 
-    /// The site, until the guard is dropped.
-    pub fn lock(&self) -> MutexGuard<'_, Site> {
+    /// Locks the environment until the guard is dropped.
+    pub fn lock(&self) -> MutexGuard<'_, Environment> {
         self.0.lock().expect("no holder of the lock panics")
     }
 }
 
-/// Starts to listen on an address of its own, and returns it.
+/// Starts an HTTP server on a unique address and returns the address.
 pub async fn listen(router: Router) -> String {
-    let address = super::own_address();
+    let address = super::unique_address();
     let acceptor = TcpListener::new(address.clone()).bind().await;
     tokio::spawn(Server::new(acceptor).serve(Service::new(router)));
     address
 }
 
-/// A request's body as JSON, or null.
+/// Returns a request's body as JSON, or null if it is not valid JSON.
 pub async fn body(request: &mut prelude::Request) -> Value {
     let payload = request.payload().await;
     let bytes = payload.map(|bytes| bytes.to_vec()).unwrap_or_default();
     serde_json::from_slice(&bytes).unwrap_or_default()
 }
 
-/// Responds with JSON.
+/// Sets the status and a JSON body of a response.
 pub fn respond(response: &mut Response, status: u16, body: &Value) {
-    response.status_code(StatusCode::from_u16(status).expect("a status"));
+    response.status_code(StatusCode::from_u16(status).expect("a valid status code"));
     let _ = response.write_body(body.to_string());
 }
--- a/src/controller/tests/loopback/mod.rs
+++ b/src/controller/tests/loopback/mod.rs
@@ -1,8 +1,11 @@
-//! Controllers with real sockets: a zone of listening workers is isolated, evacuated, and
-//! healthy again.
+//! An end-to-end test of whole controllers with real sockets on loopback.
+//!
+//! The simulation passes messages by function calls, so it cannot show faults of the HTTP and mesh
+//! connections. Here a zone of workers that listen on sockets is isolated, evacuated, and becomes
+//! healthy again. No task may run on two machines, and each job must finish exactly once.
 
 mod cloud;
-mod site;
+mod environment;
 mod store;
 mod worker;
 
@@ -15,39 +18,40 @@
 use crate::settings::tests::example;
 use crate::store::keys;
 use crate::subsystems::Subsystems;
+use environment::{Environment, SharedEnvironment, TaskStart};
 use serde_json::{Value, json};
-use site::{SharedSite, Site, TaskStart};
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
+/// Subsystems file of the controllers: zone failover with short time-outs.
 const SUBSYSTEMS: &str = "[zone-failover]\nenabled = true\nevacuation-priority = 'rank_level'\n\
     [zone-failover.health]\nsuspect-after = \"500ms\"\nlost-after = \"1s\"\nreturn-after = \"500ms\"\n\
     probation = \"1s\"\npatience = \"5s\"\n\
     [zone-failover.waves]\nmachines = 1\ninterval = \"6s\"\n";
 
-/// The whole test takes no longer.
+/// Maximum duration of the whole test.
 const TIMEOUT: Duration = Duration::from_secs(60);
-/// How often a condition is checked.
+/// Interval at which a condition is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a user waits for the answer to a submission.
+/// Time that a user waits for the answer to a submission.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a user waits for the answer to a status query.
+/// Time that a user waits for the answer to a status query.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
-/// The time between two attempts to submit a job.
+/// Time between two attempts to submit a job.
 const SUBMIT_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// How long the zone stays isolated after the first wave.
+/// Time for which the zone stays isolated after the first evacuation wave.
 const ISOLATION_AFTER_WAVE: Duration = Duration::from_millis(1_500);
-/// The lease of the workers.
+/// Worker lease: the time without an answer after which a worker ends its tasks.
 const WORKER_LEASE: Micros = Micros::from_millis(12_000);
-/// Workers in each zone.
+/// Number of workers in each zone.
 const WORKERS_PER_ZONE: usize = 4;
-/// The workers of zone x, which are added last.
+/// Indices of the workers in zone x, which are added last.
 const WORKERS_IN_X: std::ops::Range<usize> = 2 * WORKERS_PER_ZONE..3 * WORKERS_PER_ZONE;
-/// Tasks of both jobs.
+/// Total number of tasks of both jobs.
 const TASKS: usize = 16;
 
-/// Where a controller listens.
+/// Listen addresses of a controller.
 struct ControllerAddresses {
     api: String,
     mesh: String,
@@ -56,8 +60,8 @@
 impl ControllerAddresses {
     fn new() -> ControllerAddresses {
         ControllerAddresses {
-            api: own_address(),
-            mesh: own_address(),
+            api: unique_address(),
+            mesh: unique_address(),
         }
     }
 }
@@ -86,9 +90,11 @@
     serde_json::from_value(settings).expect("settings")
 }
 
-/// An address that nobody else takes: each process has a loopback address of its own, and
-/// connections go out from another one, so that no port of theirs is in the way.
-fn own_address() -> String {
+/// Returns an address that is used nowhere else.
+///
+/// Each test process listens on its own loopback IP address, derived from its process identifier.
+/// Outgoing connections use a different loopback address, so their ports never collide with these.
+fn unique_address() -> String {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(20_000);
     let process = std::process::id();
     let (second, third, fourth) = (
@@ -100,36 +106,41 @@
     format!("127.{second}.{third}.{fourth}:{port}")
 }
 
-/// A controller on a thread of its own, as a process would be.
+/// Starts a controller on its own thread, which stands for its process.
 fn start_controller(settings: Settings) {
     std::thread::spawn(move || {
-        let policy = Policy::parse("silent_s = 6;", &settings).expect("a policy");
-        let subsystems = Subsystems::parse(SUBSYSTEMS, &settings).expect("a file");
+        let policy = Policy::parse("silent_s = 6;", &settings).expect("a valid policy");
+        let subsystems = Subsystems::parse(SUBSYSTEMS, &settings).expect("a valid subsystems file");
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
-            .expect("a runtime");
+            .expect("a Tokio runtime");
         let local = tokio::task::LocalSet::new();
         let run = crate::controller::run(settings, policy, subsystems);
-        runtime.block_on(local.run_until(run)).expect("it listens");
+        runtime
+            .block_on(local.run_until(run))
+            .expect("the controller listens");
     });
 }
 
-/// The user's side of the test.
+/// The cluster under test, as its users see it.
 struct Cluster {
-    site: SharedSite,
+    environment: SharedEnvironment,
     users: ConnectionPool,
-    until: Instant,
+    deadline: Instant,
 }
 
 impl Cluster {
-    /// Two controllers and twelve workers, the ones of zone x last.
+    /// Starts two controllers and twelve workers. The workers of zone x are added last.
     async fn start() -> Cluster {
         let mut machine_types = types();
         machine_types.truncate(1);
         machine_types[0].zones = ZONES.map(String::from).to_vec();
-        let site = SharedSite::new(Site::new(machine_types, WORKER_LEASE));
-        let (store, cloud) = (store::serve(&site).await, cloud::serve(&site).await);
+        let environment = SharedEnvironment::new(Environment::new(machine_types, WORKER_LEASE));
+        let (store, cloud) = (
+            store::serve(&environment).await,
+            cloud::serve(&environment).await,
+        );
         let addresses = [(); 2].map(|()| ControllerAddresses::new());
         for index in 0..2 {
             start_controller(settings(index, &addresses, &cloud, &store));
@@ -137,31 +148,38 @@
         let controllers = addresses.map(|addresses| addresses.api).to_vec();
         for zone in ["y", "z", "x"] {
             for _ in 0..WORKERS_PER_ZONE {
-                worker::add(&site, zone, controllers.clone()).await;
+                worker::add(&environment, zone, controllers.clone()).await;
             }
         }
         Cluster {
-            site,
+            environment,
             users: ConnectionPool::new(controllers[0].clone(), 4),
-            until: Instant::now() + TIMEOUT,
+            deadline: Instant::now() + TIMEOUT,
         }
     }
 
-    /// Waits until something holds, and checks all the time that no task runs twice.
-    async fn wait(&self, what: &str, holds: impl Fn(&Site) -> bool) {
+    /// Waits until a condition holds, and checks meanwhile that no task runs on two machines.
+    async fn wait(&self, description: &str, holds: impl Fn(&Environment) -> bool) {
         loop {
             {
-                let site = self.site.lock();
+                let environment = self.environment.lock();
                 assert_eq!(
-                    site.duplicate_tasks(),
+                    environment.duplicate_tasks(),
                     Vec::<String>::new(),
-                    "on two machines"
+                    "tasks run on two machines"
                 );
-                if holds(&site) {
+                if holds(&environment) {
                     return;
                 }
-                let zones = site.store.keys.get(keys::ZONES).map(|stored| &stored.value);
-                assert!(Instant::now() < self.until, "{what}: {zones:?}");
+                let zones = environment
+                    .store
+                    .keys
+                    .get(keys::ZONES)
+                    .map(|stored| &stored.value);
+                assert!(
+                    Instant::now() < self.deadline,
+                    "time-out while waiting until {description}; zone records: {zones:?}"
+                );
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
@@ -172,7 +190,10 @@
         (job["id"], job["rank"], job["hands"]) = (id.into(), priority.into(), tasks.into());
         (job["dueS"], job["deck"]) = (Value::Null, "img".into());
         loop {
-            assert!(Instant::now() < self.until, "{id} is not accepted");
+            assert!(
+                Instant::now() < self.deadline,
+                "no controller accepted {id} in time"
+            );
             let request = HttpRequest::post("/v1/jobs".into(), job.clone());
             match self.users.send(&request, SUBMIT_TIMEOUT).await {
                 Ok((200 | 201, _)) => return,
@@ -190,39 +211,56 @@
         answer["standing"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Waits until all tasks run and no worker is without the owner's token.
+    /// Waits until all tasks run and each worker has sent the owner's fencing token.
     async fn wait_until_adopted(&self) {
-        self.wait("all tasks run", |site| site.running_count() == TASKS)
-            .await;
-        // A machine without a heartbeat under the owner's token is no evidence of its zone.
-        self.wait("each worker has its token, and has sent it", |site| {
-            site.workers.iter().all(|worker| {
-                worker.last_sent_token >= worker.fencing_token && worker.fencing_token.0 > 0
-            })
+        self.wait("all tasks run", |environment| {
+            environment.running_count() == TASKS
         })
         .await;
+        // The owner counts a machine as evidence of its zone's state only after a heartbeat with
+        // the owner's token.
+        self.wait(
+            "each worker has sent the owner's fencing token",
+            |environment| {
+                environment.workers.iter().all(|worker| {
+                    worker.last_sent_token >= worker.fencing_token && worker.fencing_token.0 > 0
+                })
+            },
+        )
+        .await;
     }
 
-    /// Isolates zone x until its first wave, and waits until all tasks run again. Returns the
-    /// tasks that ran in x before.
+    /// Isolates zone x until after its first evacuation wave, reconnects it, and waits until all
+    /// tasks run again. Returns the tasks that ran in x before the isolation.
     async fn isolate_zone(&self) -> BTreeSet<String> {
-        let displaced = tasks_in_x(&self.site.lock());
-        assert!(!displaced.is_empty(), "some tasks run in x");
-        self.site.lock().isolated.extend(WORKERS_IN_X);
-        self.wait("x is lost", |site| zone_state(site, "x") == "lost")
-            .await;
-        // It is connected while machines of it still wait for their wave, with all their tasks.
-        self.wait("the first wave", |site| !site.released.is_empty())
-            .await;
+        let displaced = tasks_in_x(&self.environment.lock());
+        assert!(
+            !displaced.is_empty(),
+            "no task runs in x before the isolation"
+        );
+        self.environment.lock().isolated.extend(WORKERS_IN_X);
+        self.wait("x is lost", |environment| {
+            zone_state(environment, "x") == "lost"
+        })
+        .await;
+        // The zone is reconnected while some of its machines, with all their tasks, still wait for
+        // their evacuation wave.
+        self.wait(
+            "the first evacuation wave releases a machine",
+            |environment| !environment.released.is_empty(),
+        )
+        .await;
         tokio::time::sleep(ISOLATION_AFTER_WAVE).await;
-        let stale = tasks_in_x(&self.site.lock());
-        self.site.lock().isolated.clear();
-        self.wait("x is healthy again", |site| {
-            zone_state(site, "x") == "healthy"
+        let stale = tasks_in_x(&self.environment.lock());
+        self.environment.lock().isolated.clear();
+        self.wait("x is healthy again", |environment| {
+            zone_state(environment, "x") == "healthy"
+        })
+        .await;
+        self.wait("all tasks run again", |environment| {
+            environment.running_count() == TASKS
         })
         .await;
-        self.wait("all tasks run again", |site| site.running_count() == TASKS)
-            .await;
         println!(
             "displaced {}, still running in x {}",
             displaced.len(),
@@ -231,66 +269,70 @@
         displaced
     }
 
-    /// Waits until a job's end is stored, which must be once.
+    /// Waits until a job's end is stored, and checks that it was stored exactly once.
     async fn check_end(&self, id: &str) {
         let key = keys::ended(&id.into());
-        self.wait("the end is stored", |site| {
-            site.store.keys.contains_key(&key)
+        self.wait("the job's end is stored", |environment| {
+            environment.store.keys.contains_key(&key)
         })
         .await;
         assert_eq!(self.job_state(id).await, "done");
-        let ends = self.site.lock().store.write_count(&key);
-        assert_eq!(ends, 1, "{id} finished exactly once");
+        let ends = self.environment.lock().store.write_count(&key);
+        assert_eq!(ends, 1, "{id} did not finish exactly once");
     }
 }
 
-fn zone_state(site: &Site, zone: &str) -> String {
-    let stored = site.store.keys.get(keys::ZONES);
+fn zone_state(environment: &Environment, zone: &str) -> String {
+    let stored = environment.store.keys.get(keys::ZONES);
     let state = stored.and_then(|stored| stored.value["zones"][zone]["state"].as_str());
     state.unwrap_or("healthy").to_owned()
 }
 
-fn tasks_in_x(site: &Site) -> BTreeSet<String> {
-    site.workers[WORKERS_IN_X]
+fn tasks_in_x(environment: &Environment) -> BTreeSet<String> {
+    environment.workers[WORKERS_IN_X]
         .iter()
         .flat_map(|worker| worker.running_tasks(""))
         .map(str::to_owned)
         .collect()
 }
 
-/// Displaced tasks start again by evacuation priority: the highest in the zone first.
+/// Checks that displaced tasks restart by evacuation priority: the first restarted task belongs to
+/// the high-priority job if, and only if, that job had tasks in the zone.
 fn check_order(displaced: &BTreeSet<String>, restarted: &[TaskStart]) {
     let is_high = |task: &str| task.starts_with("j-2/");
-    let first = restarted.first().expect("some tasks were lost");
+    let first = restarted.first().expect("some displaced tasks restarted");
     let has_high = displaced.iter().any(|task| is_high(task));
     assert_eq!(
         is_high(&first.task),
         has_high,
-        "{displaced:?} {restarted:?}"
+        "displaced {displaced:?}, restarted {restarted:?}"
     );
 }
 
-async fn play() {
+async fn run_scenario() {
     let cluster = Cluster::start().await;
-    // Two tasks fit a machine; there is capacity for all of them in two zones.
+    // Two tasks fit on a machine, so two zones have capacity for all tasks.
     cluster.submit("j-1", "idle", TASKS / 2).await;
     cluster.submit("j-2", "high", TASKS / 2).await;
     cluster.wait_until_adopted().await;
-    let isolated_at = cluster.site.lock().now();
+    let isolated_at = cluster.environment.lock().now();
     let displaced = cluster.isolate_zone().await;
     let restarted: Vec<TaskStart> = {
-        let site = cluster.site.lock();
-        let restarted = site.starts.iter().filter(|start| start.at > isolated_at);
+        let environment = cluster.environment.lock();
+        let restarted = environment
+            .starts
+            .iter()
+            .filter(|start| start.at > isolated_at);
         restarted.cloned().collect()
     };
-    println!("started again {}", restarted.len());
+    println!("restarted {}", restarted.len());
     check_order(&displaced, &restarted);
-    cluster.site.lock().task_duration = Some(Micros::from_millis(500));
+    cluster.environment.lock().task_duration = Some(Micros::from_millis(500));
     for id in ["j-1", "j-2"] {
         cluster.check_end(id).await;
     }
-    let left = cluster.until.saturating_duration_since(Instant::now());
-    println!("it took {:?}", TIMEOUT - left);
+    let remaining = cluster.deadline.saturating_duration_since(Instant::now());
+    println!("duration {:?}", TIMEOUT - remaining);
 }
 
 #[test]
@@ -298,7 +340,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("a Tokio runtime");
     let local = tokio::task::LocalSet::new();
-    runtime.block_on(local.run_until(play()));
+    runtime.block_on(local.run_until(run_scenario()));
 }
--- a/src/controller/tests/loopback/store.rs
+++ b/src/controller/tests/loopback/store.rs
@@ -1,6 +1,6 @@
-//! The key-value store's HTTP protocol around the simulated store.
+//! A fake key-value store: it serves the simulated store over the store's HTTP protocol.
 
-use super::site::{SharedSite, body, listen, respond};
+use super::environment::{SharedEnvironment, body, listen, respond};
 use crate::clock::Micros;
 use crate::ids::{LeaseId, Revision};
 use crate::store::{self, Compare, KeyValue, Mutation, Reply, WatchEvent};
@@ -8,19 +8,19 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-/// How often a watch looks for changes.
+/// Interval at which a watch request polls for changes.
 const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Serves the store, and returns its address.
-pub async fn serve(site: &SharedSite) -> String {
+/// Starts the HTTP server of the store and returns its address.
+pub async fn serve(environment: &SharedEnvironment) -> String {
     let router = Router::new()
-        .push(Router::with_path("keys").get(List(site.clone())))
-        .push(Router::with_path("keys/{**key}").get(Get(site.clone())))
-        .push(Router::with_path("txn").post(CompareAndSwap(site.clone())))
-        .push(Router::with_path("leases").post(GrantLease(site.clone())))
-        .push(Router::with_path("leases/{id}/renew").post(RenewLease(site.clone())))
-        .push(Router::with_path("leases/{id}").delete(RevokeLease(site.clone())))
-        .push(Router::with_path("follow").get(Watch(site.clone())));
+        .push(Router::with_path("keys").get(List(environment.clone())))
+        .push(Router::with_path("keys/{**key}").get(Get(environment.clone())))
+        .push(Router::with_path("txn").post(CompareAndSwap(environment.clone())))
+        .push(Router::with_path("leases").post(GrantLease(environment.clone())))
+        .push(Router::with_path("leases/{id}/renew").post(RenewLease(environment.clone())))
+        .push(Router::with_path("leases/{id}").delete(RevokeLease(environment.clone())))
+        .push(Router::with_path("follow").get(Watch(environment.clone())));
     listen(router).await
 }
 
@@ -35,13 +35,13 @@
     }
 }
 
-fn text(value: &Value, field: &str) -> String {
+fn string_field(value: &Value, field: &str) -> String {
     value[field].as_str().unwrap_or_default().to_owned()
 }
 
 fn read_compare(value: &Value) -> Compare {
     Compare {
-        key: text(value, "k"),
+        key: string_field(value, "k"),
         revision: Revision(value["stamp"].as_u64().unwrap_or(0)),
     }
 }
@@ -49,12 +49,12 @@
 fn read_mutation(value: &Value) -> Mutation {
     match value.get("set") {
         Some(_) => Mutation::Set {
-            key: text(value, "set"),
+            key: string_field(value, "set"),
             value: value["value"].clone(),
             lease_id: value["tenure"].as_u64().map(LeaseId),
         },
         None => Mutation::Delete {
-            key: text(value, "delete"),
+            key: string_field(value, "delete"),
         },
     }
 }
@@ -63,23 +63,23 @@
     LeaseId(request.param::<u64>("id").unwrap_or(0))
 }
 
-struct List(SharedSite);
-struct Get(SharedSite);
-struct CompareAndSwap(SharedSite);
-struct GrantLease(SharedSite);
-struct RenewLease(SharedSite);
-struct RevokeLease(SharedSite);
-struct Watch(SharedSite);
+struct List(SharedEnvironment);
+struct Get(SharedEnvironment);
+struct CompareAndSwap(SharedEnvironment);
+struct GrantLease(SharedEnvironment);
+struct RenewLease(SharedEnvironment);
+struct RevokeLease(SharedEnvironment);
+struct Watch(SharedEnvironment);
 
 #[handler]
 impl List {
     async fn handle(&self, response: &mut Response) {
-        let site = self.0.lock();
-        let rows: Vec<Value> = site.store.entries().iter().map(entry_body).collect();
+        let environment = self.0.lock();
+        let rows: Vec<Value> = environment.store.entries().iter().map(entry_body).collect();
         respond(
             response,
             200,
-            &json!({"rows": rows, "more": false, "ledger": site.store.revision}),
+            &json!({"rows": rows, "more": false, "ledger": environment.store.revision}),
         );
     }
 }
@@ -162,16 +162,16 @@
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let since = request.query::<u64>("since").unwrap_or(0);
         let wait = Duration::from_millis(request.query::<u64>("waitMs").unwrap_or(0));
-        let until = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         loop {
             {
-                let mut site = self.0.lock();
-                let now = site.now();
-                site.store.expire_leases(now);
-                let events = site.store.events_after(since);
-                if !events.is_empty() || Instant::now() >= until {
+                let mut environment = self.0.lock();
+                let now = environment.now();
+                environment.store.expire_leases(now);
+                let events = environment.store.events_after(since);
+                if !events.is_empty() || Instant::now() >= deadline {
                     let log: Vec<Value> = events.iter().map(event_body).collect();
-                    let revision = site.store.revision;
+                    let revision = environment.store.revision;
                     respond(response, 200, &json!({"ledger": revision, "log": log}));
                     return;
                 }
