--- a/src/controller/tests/formats.rs
+++ b/src/controller/tests/formats.rs
@@ -1,8 +1,8 @@
-//! Two versions of the controllers at a time on the same records and frames.
+//! Compatibility of two versions of the controllers that share stored records and mesh frames.
 //!
-//! `production.json` was written by the code of the commit that it names. This version
-//! must read all of it, and, as long as not every controller is known to run it, write
-//! nothing but what that one reads.
+//! `production.json` was written by the version in production, at the commit that the file names.
+//! The current version must read all of it. Until every controller is known to run the current
+//! version, it must write only records and frames that the version in production can read.
 
 use super::simulation::{Simulation, secs};
 use crate::cloud::{MachineType, ScaleOutRecord};
@@ -19,11 +19,13 @@
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
+/// Returns the records and frames that the version in production wrote.
 fn production() -> Value {
     let text = include_str!("../../store/fixtures/production.json");
     serde_json::from_str(text).expect("the fixtures")
 }
 
+/// Returns the keys and values of all production records of a kind.
 fn records(kind: &str) -> Vec<(String, Value)> {
     let all = production()["records"].as_array().expect("a list").clone();
     all.into_iter()
@@ -35,10 +37,11 @@
         .collect()
 }
 
-/// A record of a kind is read as this version's type and written again, byte by byte the same.
-fn round_trips<T: serde::Serialize + serde::de::DeserializeOwned>(kind: &str) {
+/// Checks that the current version reads each production record of a kind and writes it back
+/// unchanged.
+fn assert_round_trip<T: serde::Serialize + serde::de::DeserializeOwned>(kind: &str) {
     let all = records(kind);
-    assert!(!all.is_empty(), "{kind}");
+    assert!(!all.is_empty(), "no production record of kind {kind}");
     for (key, value) in all {
         let read: T = serde_json::from_value(value.clone()).expect(kind);
         let written = serde_json::to_value(read).expect(kind);
@@ -48,16 +51,16 @@
 
 #[test]
 fn production_records_round_trip_unchanged() {
-    round_trips::<TermRecord>("term");
-    round_trips::<LeaderRecord>("leader");
-    round_trips::<Vec<MachineType>>("types");
-    round_trips::<MemberRecord>("member");
-    round_trips::<PartitionOwnerRecord>("holder");
-    round_trips::<ShardRecord>("machines");
-    round_trips::<JobRecord>("job");
-    round_trips::<ProgressRecord>("progress");
-    round_trips::<EndedRecord>("ended");
-    round_trips::<ScaleOutRecord>("rental");
+    assert_round_trip::<TermRecord>("term");
+    assert_round_trip::<LeaderRecord>("leader");
+    assert_round_trip::<Vec<MachineType>>("types");
+    assert_round_trip::<MemberRecord>("member");
+    assert_round_trip::<PartitionOwnerRecord>("holder");
+    assert_round_trip::<ShardRecord>("machines");
+    assert_round_trip::<JobRecord>("job");
+    assert_round_trip::<ProgressRecord>("progress");
+    assert_round_trip::<EndedRecord>("ended");
+    assert_round_trip::<ScaleOutRecord>("rental");
     let known = [
         "term", "leader", "types", "member", "holder", "machines", "job", "progress", "ended",
         "rental", "sums",
@@ -67,7 +70,11 @@
         .iter()
         .filter_map(|record| record["kind"].as_str())
         .collect();
-    assert_eq!(kinds, BTreeSet::from(known), "each kind is checked");
+    assert_eq!(
+        kinds,
+        BTreeSet::from(known),
+        "each kind of production record is checked"
+    );
 }
 
 #[test]
@@ -101,8 +108,8 @@
     assert_eq!(cache.scale_outs.len() + cache.team_usage.len(), 2);
 }
 
-/// The length of a page of progress is not stored: with another one, pages of the other version
-/// would be overwritten by shorter ones.
+/// The number of tasks on a progress page is not stored. If it differed between versions, one
+/// version would overwrite the pages of the other with shorter pages.
 #[test]
 fn progress_pages_have_the_length_of_production() {
     for page in production()["page_tasks"].as_array().expect("a list") {
@@ -135,13 +142,14 @@
                 assert_eq!((job.as_str(), revision), ("j-000412", Revision(70_000)));
                 "cancelled"
             }
-            Message::ZoneEvidence(_) => panic!("production knows no such frame"),
+            Message::ZoneEvidence(_) => panic!("the version in production sends no zone evidence"),
         });
     }
     assert_eq!(decoded, ["peer state", "cancelled"]);
 }
 
-/// The field names of each stored record.
+/// Returns the key and the field names of each stored record. Shards of machine records, usage sums
+/// and machine types are left out, because their JSON keys are identifiers, not field names.
 fn record_fields(simulation: &Simulation) -> Vec<(String, BTreeSet<String>)> {
     let fields = |value: &Value| match value {
         Value::Object(fields) => fields.keys().cloned().collect(),
@@ -154,7 +162,7 @@
         .collect()
 }
 
-/// A controller of the earlier version joins: its member record has no format level.
+/// Adds a member that runs the earlier version: its member record has no format level.
 fn join_as_earlier_version(simulation: &mut Simulation, label: &str) {
     let lease = simulation.store.grant_lease(simulation.now, secs(1e6));
     let record = json!({"addr": "127.0.0.1:9003", "tenure": lease});
@@ -163,6 +171,8 @@
     simulation.store.commit(vec![mutation]);
 }
 
+/// While a controller of the earlier version is a member, the current version may add only the
+/// listed optional fields to stored records.
 #[test]
 fn with_an_earlier_version_present_only_optional_fields_are_added() {
     let mut simulation = Simulation::new(2, 2);
@@ -179,7 +189,7 @@
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
     assert!(!simulation.store.keys.contains_key(keys::FORMAT));
     assert_eq!(simulation.controllers[0].view.format, FormatLevel(0));
-    // By kind of record: fields that this version may add to those that production writes.
+    // Fields that the current version may add to the fields of production records, by key prefix.
     let optional: &[(&str, &[&str])] = &[("r/members/", &["format"]), ("ended/", &["at"])];
     let all = production()["records"].as_array().expect("a list").clone();
     for (key, fields) in record_fields(&simulation) {
@@ -200,16 +210,21 @@
             .collect();
         assert!(
             !allowed.is_empty(),
-            "{key} is of a kind that production lacks"
+            "the version in production has no record of the kind of {key}"
         );
         let added = optional
             .iter()
             .filter(|(prefix, _)| key.starts_with(prefix));
         allowed.extend(added.flat_map(|(_, names)| names.iter().map(|name| name.to_string())));
-        assert!(fields.is_subset(&allowed), "{key}: {fields:?}");
+        assert!(
+            fields.is_subset(&allowed),
+            "{key} has a field that the version in production does not write: {fields:?}"
+        );
     }
 }
 
+/// The format level must rise only when all controllers run the current version. After that,
+/// records of the new format exist, so the level must never fall again.
 #[test]
 fn format_level_rises_once_every_controller_is_new_and_never_falls() {
     let mut simulation = Simulation::new(3, 1);
@@ -218,9 +233,9 @@
     simulation.advance(20.0);
     assert!(
         !simulation.store.keys.contains_key(keys::FORMAT),
-        "one is of the earlier version"
+        "one controller runs the earlier version"
     );
-    // It ends, and joins with the new version.
+    // The third controller joins with the current version.
     simulation.start_controller(2);
     simulation.advance(10.0);
     assert_eq!(*simulation.store.value(keys::FORMAT), json!({"level": 1}));
@@ -231,18 +246,20 @@
             .iter()
             .all(|controller| controller.view.format == FormatLevel::NEWEST)
     );
-    // All end, and one never starts again.
+    // All controllers crash, and the third does not start again.
     simulation.crash_all_controllers();
     (0..2).for_each(|controller| simulation.start_controller(controller));
     simulation.advance(30.0);
     assert_eq!(
         simulation.store.keys[keys::FORMAT].revision,
         raised,
-        "written once"
+        "the format level is written only once"
     );
     assert_eq!(simulation.controllers[0].view.format, FormatLevel::NEWEST);
 }
 
+/// A controller that has never joined may run the earlier version. The format level must not rise
+/// until it has joined with the current version.
 #[test]
 fn controller_that_never_joined_keeps_the_format_level_down() {
     let mut simulation = Simulation::new(3, 1);
@@ -255,43 +272,46 @@
     simulation.advance(30.0);
     assert!(
         simulation.store.keys.contains_key(keys::FORMAT),
-        "having joined once is enough"
+        "it is enough that the controller has joined once"
     );
 }
 
-/// Also the forms that the version in production does not write, or the fixtures lack.
+/// Checks the record forms that the version in production does not write or that the fixtures do
+/// not contain.
 #[test]
 fn records_round_trip_with_and_without_optional_fields() {
-    fn round_trips_text<T: serde::Serialize + serde::de::DeserializeOwned>(text: &str) {
+    fn assert_text_round_trip<T: serde::Serialize + serde::de::DeserializeOwned>(text: &str) {
         let read: T = serde_json::from_str(text).expect(text);
-        // As they are sent: through a JSON value, whose fields are sorted.
+        // Records are sent through a JSON value, whose fields are sorted.
         let written = serde_json::to_value(read).expect(text).to_string();
         assert_eq!(written, text);
     }
-    round_trips_text::<FormatRecord>(r#"{"level":1}"#);
-    round_trips_text::<MemberRecord>(r#"{"addr":"127.0.0.1:9001","format":1,"tenure":7}"#);
-    round_trips_text::<MemberRecord>(r#"{"addr":"127.0.0.1:9001","tenure":7}"#);
-    round_trips_text::<MachineRecord>(
+    assert_text_round_trip::<FormatRecord>(r#"{"level":1}"#);
+    assert_text_round_trip::<MemberRecord>(r#"{"addr":"127.0.0.1:9001","format":1,"tenure":7}"#);
+    assert_text_round_trip::<MemberRecord>(r#"{"addr":"127.0.0.1:9001","tenure":7}"#);
+    assert_text_round_trip::<MachineRecord>(
         r#"{"a":"10.1.0.7:9000","b":"big","f":"move","s":true,"t":12,"u":true,"z":"x"}"#,
     );
-    round_trips_text::<MachineRecord>(r#"{"b":"big","f":"return","s":false,"t":0,"z":"x"}"#);
-    round_trips_text::<MachineRecord>(r#"{"a":"10.1.0.7:9000","b":"big","s":false,"t":0,"z":"x"}"#);
-    round_trips_text::<MachineRecord>(r#"{"b":"big","s":false,"t":0,"u":true,"z":"x"}"#);
+    assert_text_round_trip::<MachineRecord>(r#"{"b":"big","f":"return","s":false,"t":0,"z":"x"}"#);
+    assert_text_round_trip::<MachineRecord>(
+        r#"{"a":"10.1.0.7:9000","b":"big","s":false,"t":0,"z":"x"}"#,
+    );
+    assert_text_round_trip::<MachineRecord>(r#"{"b":"big","s":false,"t":0,"u":true,"z":"x"}"#);
     let footprint = r#""footprint":{"request":{"cards":1.0,"cores":2.0,"mem":4.0},"team":"red"}"#;
-    round_trips_text::<EndedRecord>(&format!(
+    assert_text_round_trip::<EndedRecord>(&format!(
         r#"{{"at":1700000000000000,{footprint},"standing":"cancelled","tasks":4}}"#
     ));
-    round_trips_text::<EndedRecord>(r#"{"at":1700000000000000,"standing":"done","tasks":4}"#);
+    assert_text_round_trip::<EndedRecord>(r#"{"at":1700000000000000,"standing":"done","tasks":4}"#);
     for standing in ["pending", "running", "done", "cancelled"] {
-        round_trips_text::<EndedRecord>(&format!(r#"{{"standing":"{standing}","tasks":4}}"#));
+        assert_text_round_trip::<EndedRecord>(&format!(r#"{{"standing":"{standing}","tasks":4}}"#));
     }
-    round_trips_text::<ProgressRecord>(r#"{"done":[],"owner":null,"running":0}"#);
+    assert_text_round_trip::<ProgressRecord>(r#"{"done":[],"owner":null,"running":0}"#);
     for (form, rank) in [
         ("sweep", "idle"),
         ("service", "standard"),
         ("sweep", "production"),
     ] {
-        round_trips_text::<JobRecord>(&format!(
+        assert_text_round_trip::<JobRecord>(&format!(
             r#"{{"at":1700000000000000,"born":9,"desc":{{"apart":true,"builds":["big","small"],"cards":1.0,"cores":2.0,"crew":"red","deck":"img-07","dueS":null,"form":"{form}","hands":4,"hinges":["j-2","j-1"],"id":"j-000412","loaners":false,"lot":"train","markS":5.0,"memGb":4.0,"oneZone":true,"rank":"{rank}","reckonS":10.0,"sizeGb":1.0,"stowS":2.0,"yard":"x"}}}}"#
         ));
     }
--- a/src/controller/tests/job_lifecycle.rs
+++ b/src/controller/tests/job_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a job from its launch to the recorded end, also when the owner's transactions
+//! The life cycle of a job from its launch to its stored end, also when transactions of the owner
 //! are delayed or repeated.
 
 use super::simulation::Simulation;
@@ -6,6 +6,8 @@
 use crate::jobs::tests::desc;
 use crate::store::Reply;
 
+/// A worker forgets a reaped task. If the owner had a task reaped before its end is stored and then
+/// crashed, the end would be lost and the task would run again.
 #[test]
 fn ended_tasks_are_reaped_only_after_the_end_is_stored() {
     let mut simulation = Simulation::started(2, 1);
@@ -18,14 +20,19 @@
     assert_eq!(
         simulation.workers[0].tasks.len(),
         3,
-        "not reaped before its end is stored"
+        "no task is reaped before its end is stored"
     );
     simulation.network.holds_owner_transactions = false;
     simulation.advance(6.0);
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
-    assert!(simulation.workers[0].tasks.is_empty(), "reaped");
+    assert!(
+        simulation.workers[0].tasks.is_empty(),
+        "all tasks are reaped"
+    );
 }
 
+/// A transaction of the owner is delayed until a retry has stored the end of the job. It must
+/// conflict and must not overwrite the end.
 #[test]
 fn delayed_transaction_conflicts_and_the_job_stays_done() {
     let mut simulation = Simulation::started(1, 1);
@@ -43,12 +50,14 @@
             .compare_and_swap(&delayed.compares, delayed.mutations);
         assert!(
             matches!(reply, Reply::Conflict(_)),
-            "its revisions are outdated"
+            "the transaction must conflict, its revisions are outdated"
         );
     }
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
 }
 
+/// A transaction without an answer is retried although it was committed. Neither the retry nor a
+/// repeated delivery of both may change the result.
 #[test]
 fn repeated_transaction_changes_nothing() {
     let mut simulation = Simulation::started(1, 1);
@@ -59,7 +68,7 @@
     simulation.advance(2.0);
     let held = simulation.network.take_held_transactions();
     simulation.network.holds_owner_transactions = false;
-    // The first is committed late, without an answer; then its retries, and all once more.
+    // The first transaction and its retries reach the store late, and then all of them once more.
     for _ in 0..2 {
         for transaction in &held {
             let mutations = transaction.mutations.clone();
@@ -70,11 +79,15 @@
     }
     simulation.advance(3.0);
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
-    assert!(simulation.workers[0].tasks.is_empty(), "reaped");
+    assert!(
+        simulation.workers[0].tasks.is_empty(),
+        "all tasks are reaped"
+    );
 }
 
-/// A page of progress is written without an answer, once more with the tasks that have ended
-/// since, and then the first write is committed.
+/// The write of a progress page is delayed, and a later write adds tasks that have ended since.
+/// When the delayed write reaches the store, it must not undo the later one. A delayed page of a
+/// job that has ended must not be restored, either.
 #[test]
 fn delayed_progress_page_undoes_nothing() {
     let mut simulation = Simulation::started(2, 2);
@@ -93,7 +106,7 @@
     let both_done = done(&simulation);
     simulation.deliver_transactions(delayed);
     assert_eq!(done(&simulation), both_done);
-    // Nor does a page of a job that has ended meanwhile restore anything.
+    // The job is cancelled while the write of its page is delayed.
     simulation.controllers[owner].faults.has_delayed_writes = true;
     simulation.finish("j-1/2");
     simulation.advance(3.0);
--- a/src/controller/tests/process_pauses.rs
+++ b/src/controller/tests/process_pauses.rs
@@ -1,11 +1,17 @@
-//! A controller's process that is paused while its clock runs on: it decides nothing from a
-//! silence that was its own.
+//! A controller's process is paused while its clock advances.
+//!
+//! After the pause all heartbeats look overdue, although it was the controller that did not receive
+//! them. It must not treat machines as lost for that reason, and must notice that its lease
+//! expired.
 
 use super::simulation::{Simulation, secs};
 use crate::api::ports::HeartbeatAnswer;
 use crate::controller::messages::Input;
 use crate::jobs::tests::desc;
 
+/// An owner is paused for less than its lease. When it resumes, it must release no machine for
+/// heartbeats that were due during the pause. It must also start no task on a machine that has sent
+/// no heartbeat since.
 #[test]
 fn after_a_pause_the_owner_releases_nothing_and_starts_nothing_on_unconfirmed_machines() {
     let mut simulation = Simulation::started(2, 4);
@@ -16,16 +22,16 @@
     simulation.advance(14.0);
     simulation.submit(&desc("j-2", 4));
     simulation.controllers[owner].faults.is_paused = false;
-    // The changes and the ticks that were due during the pause are handled.
+    // The owner handles the store's changes and the ticks that were due during the pause.
     simulation.deliver_watch_events(owner);
     simulation.handle_input(owner, Input::Tick);
     simulation.handle_input(owner, Input::Tick);
     assert!(
         !simulation.has_started("j-2"),
-        "no machine has sent a heartbeat since"
+        "no machine has sent a heartbeat since the pause"
     );
     assert!(simulation.cloud.released.is_empty());
-    // A machine that is silent after the pause has its full timeout from then on.
+    // The heartbeat timeout of a machine starts anew at the end of the pause.
     simulation.workers[0].next_heartbeat_at = simulation.now + secs(6.0);
     simulation.advance(8.0);
     assert_eq!(
@@ -35,12 +41,15 @@
     assert_eq!(
         simulation.running_count(),
         8,
-        "the running tasks keep running"
+        "the earlier tasks keep running and the new tasks have started"
     );
 }
 
+/// An owner is paused until its lease has expired and another controller owns the partition. When
+/// it resumes, its state still says that it is the owner, but it must answer no worker and send no
+/// command.
 #[test]
-fn pause_beyond_the_lease_leaves_no_command_behind() {
+fn owner_paused_beyond_its_lease_answers_and_commands_no_worker() {
     let mut simulation = Simulation::started(2, 2);
     simulation.submit(&desc("j-1", 2));
     simulation.advance(4.0);
@@ -50,7 +59,7 @@
     assert_ne!(simulation.owner(), previous_owner);
     simulation.submit(&desc("j-2", 2));
     simulation.controllers[previous_owner].faults.is_paused = false;
-    // Its clock has advanced and its watch has not: it answers no worker.
+    // The previous owner's clock has advanced, but its watch has not received any change yet.
     let answer = simulation.deliver_heartbeat_of(0, previous_owner);
     assert_eq!(answer, Some(HeartbeatAnswer::Unavailable));
     let command_count = simulation.network.delivered_commands.len();
@@ -58,7 +67,7 @@
     assert_eq!(
         simulation.network.delivered_commands.len(),
         command_count,
-        "nor does it send a command"
+        "the previous owner sends no command"
     );
     simulation.advance(5.0);
     assert_eq!(simulation.running_count(), 4);
--- a/src/controller/tests/restarts.rs
+++ b/src/controller/tests/restarts.rs
@@ -1,5 +1,4 @@
-//! Restarts and crashes of controllers, all at once, in a fraction of a second, or again and
-//! again.
+//! Restarts and crashes of controllers: all at the same time, immediately, or repeatedly.
 
 use super::simulation::{Simulation, secs};
 use crate::api::ports::HeartbeatAnswer;
@@ -8,6 +7,8 @@
 use crate::store::{Reply, keys};
 use std::collections::BTreeMap;
 
+/// After a restart of all controllers, the new owner must adopt the tasks that kept running on the
+/// machines and record their end.
 #[test]
 fn restart_of_all_controllers_adopts_running_tasks() {
     let mut simulation = Simulation::started(3, 2);
@@ -19,13 +20,19 @@
     simulation.advance(2.0);
     simulation.start_all_controllers();
     simulation.advance(6.0);
-    assert!(last_term(&simulation) > first, "a new term for a new grant");
+    assert!(
+        last_term(&simulation) > first,
+        "a new grant of the partition has a new term"
+    );
     assert_eq!(simulation.running_count(), 4);
     simulation.finish_all();
     simulation.advance(4.0);
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
 }
 
+/// Controllers restart several times within seconds while transactions of the first owner are
+/// delayed. A delayed transaction must conflict, no attempt number may be used again, and the owner
+/// and member records of earlier incarnations must be gone.
 #[test]
 fn rapid_controller_restarts_leave_no_stale_records() {
     let mut simulation = Simulation::started(3, 2);
@@ -43,7 +50,7 @@
     simulation.finish_all();
     simulation.advance(2.5);
     simulation.network.holds_owner_transactions = false;
-    // Again and again, also during the elections that follow.
+    // Two of the three controllers restart in each round, also while a new leader is elected.
     for round in 0..6 {
         for controller in (0..3).filter(|controller| round % 3 != *controller) {
             simulation.restart_controller(controller);
@@ -58,7 +65,7 @@
             .compare_and_swap(&transaction.compares, transaction.mutations);
         assert!(
             matches!(reply, Reply::Conflict(_)),
-            "of an earlier incarnation"
+            "a transaction of an earlier incarnation must conflict"
         );
     }
     simulation.advance(12.0);
@@ -85,6 +92,9 @@
     assert_eq!(members.count(), 3, "every controller is a member");
 }
 
+/// All controllers are down for longer than a worker lease, so every worker ends its tasks. The
+/// next owner must start the tasks again, and must not accept late heartbeats that still show them
+/// as running.
 #[test]
 fn all_controllers_down_for_longer_than_a_worker_lease_run_jobs_again() {
     let mut simulation = Simulation::started(3, 3);
@@ -101,7 +111,7 @@
     assert_eq!(simulation.running_count(), 0);
     simulation.start_all_controllers();
     simulation.advance(4.0);
-    // Their agent epoch has ended.
+    // The copies are from an agent epoch that has ended.
     let owner = simulation.owner();
     for copy in &copies {
         assert_eq!(
@@ -116,11 +126,13 @@
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
 }
 
+/// The leader crashes ten times in two minutes, some of the time during an outage of the store. A
+/// term must never be granted to two owners or incarnations, and the jobs must finish.
 #[test]
 fn ten_leader_changes_in_two_minutes_with_an_outage_grant_each_term_once() {
     let mut simulation = Simulation::started(3, 3);
     simulation.task_duration = Some(secs(9.0));
-    // The owner and its incarnation that the partition was granted to, by term.
+    // The owner and incarnation to which the partition was granted, by term.
     let mut grants = BTreeMap::new();
     for round in 0..10 {
         let grant = simulation.store.value("r/blocks/0/holder").clone();
@@ -144,7 +156,7 @@
         assert_eq!(
             simulation.ended_state(&format!("j-{round}")),
             Some(JobState::Done),
-            "{round}"
+            "job j-{round} is done"
         );
     }
 }
--- a/src/controller/tests/zone_failover/capacity.rs
+++ b/src/controller/tests/zone_failover/capacity.rs
@@ -1,20 +1,25 @@
-//! Capacity while a zone is lost or closed: which jobs wait, which go first, and what is
-//! scaled out.
+//! Capacity while a zone is lost or closed: which jobs wait, which jobs start first, and where
+//! machines are added.
 
-use super::{ENABLED, fill, finish_jobs, running_in, running_outside, zone_state, zones};
+use super::{
+    FAILOVER_ENABLED, fill_zones, finish_jobs, running_in, running_outside, three_zones, zone_state,
+};
 use crate::controller::tests::simulation::ZONES;
 use crate::jobs::Priority;
 use crate::jobs::tests::desc;
 use crate::store::keys;
 
+/// Work must not start in a closed zone while other zones may get free capacity. It must not wait
+/// for ever, either: after the time `patience`, a job that is not bound to a zone may use machines
+/// of the closed zone whose heartbeats arrive.
 #[test]
 fn job_without_a_zone_avoids_a_closed_zone_until_it_has_waited() {
     let declared_out = "[[zone-failover.declared]]\nzone = \"x\"\nstate = \"out\"\n";
-    let mut simulation = zones(4, &format!("{ENABLED}{declared_out}"));
-    fill(&mut simulation, ["y", "z"], 8);
-    let mut bound = desc("j-2", 2);
-    bound.zone = Some("x".into());
-    simulation.submit(&bound);
+    let mut simulation = three_zones(4, &format!("{FAILOVER_ENABLED}{declared_out}"));
+    fill_zones(&mut simulation, ["y", "z"], 8);
+    let mut zone_bound = desc("j-2", 2);
+    zone_bound.zone = Some("x".into());
+    simulation.submit(&zone_bound);
     simulation.submit(&desc("j-1", 2));
     simulation.advance(20.0);
     assert_eq!(
@@ -28,13 +33,15 @@
     assert_eq!(
         running_in(&simulation, "x", "j-1/"),
         2,
-        "its machines send heartbeats, and no other has free capacity"
+        "machines of the closed zone send heartbeats, and no other zone has free capacity"
     );
 }
 
+/// Machines that boot in a lost zone may never send a heartbeat. Displaced tasks would not get
+/// capacity elsewhere if the autoscaler still counted these machines as future capacity.
 #[test]
 fn machines_booting_in_a_lost_zone_are_not_awaited() {
-    let mut simulation = zones(4, ENABLED);
+    let mut simulation = three_zones(4, FAILOVER_ENABLED);
     simulation.cloud.has_capacity = true;
     simulation.cloud.zones_without_capacity.extend(["y", "z"]);
     simulation.submit(&desc("j-1", 40));
@@ -52,10 +59,12 @@
     });
 }
 
+/// Evacuated tasks of low priority and an urgent job compete for the two zones that are left, since
+/// the fleet is full and the cloud adds nothing. The urgent job must not wait for the evacuation.
 #[test]
 fn urgent_job_goes_before_evacuated_tasks() {
-    let file = format!("{ENABLED}evacuation-priority = 'tasks'\n");
-    let mut simulation = zones(4, &file);
+    let file = format!("{FAILOVER_ENABLED}evacuation-priority = 'tasks'\n");
+    let mut simulation = three_zones(4, &file);
     simulation.cloud.zones_without_capacity.extend(ZONES);
     let mut low = desc("j-1", 24);
     (low.priority, low.deadline_s, low.checkpoint_interval_s) = (Priority::Idle, None, 5.0);
@@ -72,15 +81,17 @@
     assert_eq!(running_outside(&simulation, "x", "j-2/"), 8);
 }
 
+/// Machines added in a lost zone are paid for but can run nothing. Without capacity elsewhere, jobs
+/// wait until the zone is healthy again, and no machine is added for a job bound to the lost zone.
 #[test]
 fn without_capacity_elsewhere_jobs_wait_and_zone_bound_jobs_scale_nothing_out() {
-    let mut simulation = zones(4, ENABLED);
+    let mut simulation = three_zones(4, FAILOVER_ENABLED);
     simulation.cloud.has_capacity = true;
     simulation.cloud.zones_without_capacity.extend(["y", "z"]);
     simulation.submit(&desc("j-1", 24));
-    let mut bound = desc("j-2", 4);
-    bound.zone = Some("x".into());
-    simulation.submit(&bound);
+    let mut zone_bound = desc("j-2", 4);
+    zone_bound.zone = Some("x".into());
+    simulation.submit(&zone_bound);
     simulation.advance(6.0);
     let scale_outs = simulation.cloud.scale_outs.len();
     simulation.set_zone_isolated("x", true);
@@ -89,7 +100,7 @@
     assert_eq!(
         simulation.cloud.scale_outs.len(),
         scale_outs,
-        "not even for a job that can run in no other zone"
+        "no machine is added, not even for a job that is bound to the lost zone"
     );
     assert_eq!(
         simulation
@@ -101,12 +112,13 @@
     finish_jobs(&mut simulation, &["j-1", "j-2"]);
 }
 
-/// A third of four thousand machines is isolated at once.
+/// A third of four thousand machines is isolated at once. The evacuation must not use up the
+/// store's write rate: the zone records may be written 40 times at most.
 #[test]
 fn evacuation_of_a_third_of_four_thousand_machines_spends_few_writes() {
-    let mut simulation = zones(
+    let mut simulation = three_zones(
         1_334,
-        &format!("{ENABLED}[zone-failover.waves]\nmachines = 200\ntasks = 2000\n"),
+        &format!("{FAILOVER_ENABLED}[zone-failover.waves]\nmachines = 200\ntasks = 2000\n"),
     );
     simulation.submit(&desc("j-1", 6_000));
     simulation.advance(8.0);
@@ -117,7 +129,7 @@
     simulation.advance(30.0);
     let zone_writes = simulation.store.write_count(keys::ZONES);
     println!(
-        "mutations of the store {}, of them zone records {zone_writes}, machines compared {}",
+        "store mutations {}, writes of zone records {zone_writes}, machines compared {}",
         simulation.store.mutation_count - mutations,
         simulation.machines_compared() - comparisons
     );
--- a/src/controller/tests/zone_failover/detection.rs
+++ b/src/controller/tests/zone_failover/detection.rs
@@ -1,14 +1,16 @@
-//! Detection of lost zones: what is evidence of a loss, what is none, and how flapping is
-//! damped.
+//! Detection of lost zones: which observations are evidence of a loss, which are not, and how
+//! flapping is damped.
 
-use super::{ENABLED, workers_in, zone_epoch, zone_state, zones};
+use super::{FAILOVER_ENABLED, three_zones, workers_in, zone_epoch, zone_state};
 use crate::controller::tests::simulation::{Simulation, ZONES};
 use crate::jobs::tests::desc;
 use crate::store::keys;
 
+/// Evacuating a zone for a short isolation would restart its tasks without need. An isolation
+/// shorter than the time until a zone is lost must not move a task or add or release a machine.
 #[test]
 fn short_isolation_and_fast_flapping_move_nothing() {
-    let mut simulation = zones(4, ENABLED);
+    let mut simulation = three_zones(4, FAILOVER_ENABLED);
     simulation.cloud.has_capacity = true;
     simulation.submit(&desc("j-1", 20));
     simulation.advance(6.0);
@@ -27,15 +29,19 @@
     }
     assert_eq!(zone_epoch(&simulation, "x"), 0);
     assert!(simulation.cloud.released.is_empty() && simulation.cloud.scale_outs.is_empty());
-    assert_eq!(placements(&simulation), first, "every task is where it was");
+    assert_eq!(
+        placements(&simulation),
+        first,
+        "every task runs on the same machine as before"
+    );
 }
 
-/// Each change of state and each wave is a write; a zone that flaps for minutes must not spend
-/// the store's write rate.
+/// Each change of a zone's state and each evacuation wave is a write to the store. A zone that
+/// flaps for minutes must not use up the store's write rate.
 #[test]
 fn zone_that_flaps_for_minutes_is_damped() {
-    let mut simulation = zones(4, ENABLED);
-    // Its machines stay, since the cloud can't release them.
+    let mut simulation = three_zones(4, FAILOVER_ENABLED);
+    // The cloud cannot release the zone's machines, so they keep flapping.
     simulation.cloud.is_unreachable = true;
     let (mut recoveries, mut last, mut probations) = (0, String::new(), Vec::new());
     let mut probation_began_at = simulation.now;
@@ -64,19 +70,21 @@
             }
         }
     }
-    // Ten minutes of 25 s isolated and 25 s connected.
+    // The zone alternated between 25 s of isolation and 25 s of connection for ten minutes.
     assert!(
         (1..=2).contains(&recoveries),
-        "{recoveries} times healthy: {probations:?}"
+        "zone became healthy {recoveries} times, after probations of {probations:?} s"
     );
     assert!(zone_epoch(&simulation, "x") <= 12);
     let writes = simulation.store.write_count(keys::ZONES);
     assert!(writes < 120);
 }
 
+/// Half of a zone's machines, the cloud's capacity in a zone, or the store may fail while the zone
+/// itself works. None of these faults is evidence that a zone is lost.
 #[test]
 fn half_a_zone_or_an_outage_of_cloud_or_store_is_no_lost_zone() {
-    let mut simulation = zones(6, ENABLED);
+    let mut simulation = three_zones(6, FAILOVER_ENABLED);
     simulation.cloud.has_capacity = true;
     simulation.submit(&desc("j-1", 30));
     simulation.advance(6.0);
@@ -84,7 +92,7 @@
         simulation.workers[worker].is_isolated = true;
     }
     simulation.cloud.zones_without_capacity.insert("y");
-    // The store rejects the controller in z, and then all.
+    // The store rejects first the controller in z and then all controllers.
     simulation.controllers[2].faults.is_rejected_by_store = true;
     simulation.advance(15.0);
     simulation.store.is_down = true;
@@ -98,7 +106,7 @@
     assert_eq!(
         simulation.running_count(),
         30,
-        "on the machines left and added"
+        "all tasks run on the remaining and the added machines"
     );
     assert!(
         simulation
@@ -109,11 +117,13 @@
     );
 }
 
+/// A controller that is isolated itself receives no heartbeats from other zones. It must not
+/// conclude that those zones are lost.
 #[test]
 fn isolated_observer_gives_no_evidence() {
-    let mut simulation = zones(4, ENABLED);
+    let mut simulation = three_zones(4, FAILOVER_ENABLED);
     let owner = simulation.owner();
-    // It reaches the machines of one zone only, and neither the store nor its peers.
+    // The owner reaches only the machines of zone x, and neither the store nor its peers.
     simulation.controllers[owner].set_isolated(true);
     for zone in ["y", "z"] {
         simulation.set_zone_isolated(zone, true);
--- a/src/controller/tests/zone_failover/evacuation.rs
+++ b/src/controller/tests/zone_failover/evacuation.rs
@@ -1,17 +1,19 @@
-//! Evacuation of a lost zone: waves, their order and their bounds, and where displaced tasks
-//! go.
+//! Evacuation of a lost zone: the order and the size of its waves, and where displaced tasks
+//! start again.
 
 use super::{
-    ENABLED, evacuation_wave, fill, finish_jobs, released_in, running_in, running_outside,
-    zone_epoch, zone_state, zones,
+    FAILOVER_ENABLED, evacuation_wave, fill_zones, finish_jobs, released_in, running_in,
+    running_outside, three_zones, zone_epoch, zone_state,
 };
 use crate::controller::tests::simulation::{ExitCause, Simulation, ZONES};
 use crate::jobs::Priority;
 use crate::jobs::tests::desc;
 
+/// The regular course of a failover: an isolated zone becomes suspect and then lost, and its tasks
+/// start in the other zones. After the reconnection it is on probation and then healthy.
 #[test]
 fn lost_zone_is_evacuated_and_becomes_healthy_again() {
-    let mut simulation = zones(6, ENABLED);
+    let mut simulation = three_zones(6, FAILOVER_ENABLED);
     simulation.cloud.has_capacity = true;
     simulation.submit(&desc("j-1", 30));
     simulation.advance(6.0);
@@ -21,7 +23,7 @@
     simulation.advance_until(14.0, |simulation| zone_state(simulation, "x") == "suspect");
     assert!(
         released_in(&simulation, "x").is_empty(),
-        "kept while it is only suspect"
+        "no machine is released while the zone is only suspect"
     );
     simulation.advance_until(6.0, |simulation| zone_state(simulation, "x") == "lost");
     simulation.advance_until(30.0, |simulation| {
@@ -36,7 +38,7 @@
         "{:?}",
         simulation.cloud.scale_outs
     );
-    // Connected again: on probation first, then healthy.
+    // After the reconnection the zone is first on probation and then healthy.
     simulation.set_zone_isolated("x", false);
     simulation.submit(&desc("j-2", 400));
     simulation.advance_until(60.0, |simulation| {
@@ -47,16 +49,18 @@
     assert_eq!(zone_epoch(&simulation, "x"), 1);
 }
 
+/// An evacuation of a whole zone at once would overload the other zones. Each wave releases at most
+/// the configured number of machines, and jobs follow in the order of the evacuation priority.
 #[test]
 fn waves_are_bounded_and_follow_the_evacuation_priority() {
     let file = format!(
-        "{ENABLED}evacuation-priority = 'if class == \"train\" then due_s else 0'\n\
+        "{FAILOVER_ENABLED}evacuation-priority = 'if class == \"train\" then due_s else 0'\n\
          [zone-failover.waves]\nmachines = 2\ntasks = 4\n"
     );
-    let mut simulation = zones(8, &file);
+    let mut simulation = three_zones(8, &file);
     let ids = ["j-1", "j-2", "j-3", "j-4"];
     let deadlines = [5_000.0, 8_000.0, 6_000.0, 7_000.0];
-    fill(&mut simulation, ["y", "z"], 16);
+    fill_zones(&mut simulation, ["y", "z"], 16);
     for (id, deadline) in ids.iter().zip(deadlines) {
         let mut job = desc(id, 4);
         (job.deadline_s, job.priority) = (Some(deadline), Priority::Standard);
@@ -65,7 +69,11 @@
     simulation.advance(3.0);
     simulation.exit_all_of("j-9", ExitCause::Done);
     simulation.advance(3.0);
-    assert_eq!(running_in(&simulation, "x", "j-"), 16, "all tasks run in x");
+    assert_eq!(
+        running_in(&simulation, "x", "j-"),
+        16,
+        "not all tasks run in x"
+    );
     simulation.set_zone_isolated("x", true);
     let mut order: Vec<&str> = Vec::new();
     for _ in 0..250 {
@@ -73,7 +81,7 @@
         let released = released_in(&simulation, "x").len() as u64;
         assert!(
             released <= 2 * evacuation_wave(&simulation, "x"),
-            "{released} in {} waves",
+            "{released} machines released in {} waves",
             evacuation_wave(&simulation, "x")
         );
         for id in ids {
@@ -90,20 +98,21 @@
             evacuation_wave(&simulation, "x")
         ),
         (1, 4),
-        "no wave begins without need"
+        "zone epoch and number of waves: no wave starts without displaced tasks"
     );
     finish_jobs(&mut simulation, &ids);
 }
 
-/// Also when the owner crashes with the isolation, and the next one has no heartbeat of the
-/// machines.
+/// A wave must add machines only for its own displaced tasks, not for tasks of later waves. This
+/// must also hold when the owner crashes at the start of the isolation: the next owner has received
+/// no heartbeat from the zone's machines.
 #[test]
 fn each_wave_scales_out_for_its_displaced_tasks_only() {
-    let file = format!("{ENABLED}[zone-failover.waves]\ntasks = 2\ninterval = \"30s\"\n");
+    let file = format!("{FAILOVER_ENABLED}[zone-failover.waves]\ntasks = 2\ninterval = \"30s\"\n");
     for crashes_owner in [false, true] {
-        let mut simulation = zones(4, &file);
+        let mut simulation = three_zones(4, &file);
         simulation.cloud.has_capacity = true;
-        fill(&mut simulation, ["y", "z"], 8);
+        fill_zones(&mut simulation, ["y", "z"], 8);
         for number in 1..5 {
             simulation.submit(&desc(&format!("j-{number}"), 2));
         }
@@ -124,20 +133,29 @@
             let wave = evacuation_wave(&simulation, "x");
             assert!(
                 crashes_owner || wave > 1 || added <= 1,
-                "{added} for the two tasks of a wave"
+                "{added} machines added for the two tasks of a wave"
+            );
+            // One machine has capacity for the tasks of a wave, and another one may be booting.
+            assert!(
+                added <= 2 * wave,
+                "{added} machines added in {wave} waves at {:?}, owner crashed: {crashes_owner}",
+                simulation.now
             );
-            // One machine has capacity for a wave, and one more may be booting.
-            assert!(added <= 2 * wave, "{crashes_owner} {:?}", simulation.now);
         }
         assert!(added_machines(&simulation) > 0 && evacuation_wave(&simulation, "x") > 1);
         finish_jobs(&mut simulation, &["j-1", "j-2", "j-3", "j-4"]);
     }
 }
 
+/// Displaced tasks get free capacity by evacuation priority, not by deadline: the job with more
+/// tasks comes first here, although the other job has the nearer deadline.
 #[test]
 fn displaced_tasks_take_free_capacity_by_evacuation_priority() {
-    let mut simulation = zones(4, &format!("{ENABLED}evacuation-priority = 'tasks'\n"));
-    fill(&mut simulation, ["y", "z"], 8);
+    let mut simulation = three_zones(
+        4,
+        &format!("{FAILOVER_ENABLED}evacuation-priority = 'tasks'\n"),
+    );
+    fill_zones(&mut simulation, ["y", "z"], 8);
     for (id, tasks, deadline) in [("j-1", 3, 60.0), ("j-2", 5, 6_000.0)] {
         let mut job = desc(id, tasks);
         job.deadline_s = Some(deadline);
@@ -157,9 +175,11 @@
     );
 }
 
+/// A single-zone job that is evacuated must start again in one zone, and an anti-affinity job must
+/// still be spread. A job that is cancelled while its zone is isolated must not start again.
 #[test]
 fn single_zone_and_anti_affinity_jobs_move_whole_and_a_cancellation_holds() {
-    let mut simulation = zones(5, ENABLED);
+    let mut simulation = three_zones(5, FAILOVER_ENABLED);
     simulation.cloud.has_capacity = true;
     let mut single_zone = desc("j-1", 6);
     single_zone.single_zone = true;
@@ -172,7 +192,7 @@
     let lost = ZONES
         .into_iter()
         .find(|zone| running_in(&simulation, zone, "j-1/") > 0)
-        .expect("it runs");
+        .expect("j-1 runs in a zone");
     simulation.set_zone_isolated(lost, true);
     simulation.advance(3.0);
     simulation.cancel("j-3");
--- a/src/controller/tests/zone_failover/histories.rs
+++ b/src/controller/tests/zone_failover/histories.rs
@@ -1,21 +1,23 @@
-//! Random histories of faults around zone failover, shrunk when one fails.
+//! A property test of zone failover: in any random history of faults, each job finishes exactly
+//! once. A history that fails is shrunk.
 
-use super::{CONTROLLERS, ENABLED, finish_jobs, zones};
+use super::{CONTROLLERS, FAILOVER_ENABLED, finish_jobs, three_zones};
 use crate::controller::tests::simulation::{Simulation, ZONES};
 use crate::jobs::tests::desc;
 use crate::store::keys;
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
 
-/// Histories that are played unless `PROPTEST_CASES` is set.
+/// Number of histories that are run unless `PROPTEST_CASES` is set.
 const CASES: u32 = 40;
-/// Every so manieth copy of a heartbeat is delivered late.
+/// Interval at which heartbeat copies are selected for late delivery: one of seven.
 const LATE_HEARTBEAT_STRIDE: usize = 7;
-/// Copies of heartbeats that are delivered at a time.
+/// Maximum number of heartbeat copies that one event delivers.
 const MAX_LATE_HEARTBEATS: usize = 30;
-/// Seconds for which a controller's writes are delayed.
+/// Time in seconds for which a controller's writes are delayed.
 const WRITE_DELAY_S: f64 = 4.0;
 
+/// An event of a history. Zones and controllers are given by index, durations in seconds.
 #[derive(Debug, Clone)]
 enum HistoryEvent {
     IsolateZone(usize),
@@ -24,9 +26,9 @@
     StartController(usize),
     StoreOutage(f64),
     Advance(f64),
-    /// Copies of old heartbeats reach a controller.
+    /// Copies of earlier heartbeats reach a controller.
     LateHeartbeats(usize),
-    /// Transactions of a controller are committed late.
+    /// A controller's transactions get no answer, and are committed four seconds later.
     DelayedWrites(usize),
 }
 
@@ -70,7 +72,7 @@
                     .cloned()
                     .collect();
                 for copy in &copies {
-                    // A controller that is down does not receive it.
+                    // A controller that is not running does not receive the copy.
                     simulation.deliver_late_heartbeat(controller, copy);
                 }
             }
@@ -84,12 +86,14 @@
     }
 }
 
-/// Shrinks a history that fails; its seed is kept beside the test.
+/// Returns the configuration of the property test. The seed of a failed history is stored next to
+/// this source file, in a file with the extension `regressions`.
 fn config() -> ProptestConfig {
-    let chosen = std::env::var_os("PROPTEST_CASES").map(|_| ProptestConfig::default().cases);
+    let requested_cases =
+        std::env::var_os("PROPTEST_CASES").map(|_| ProptestConfig::default().cases);
     let persistence = FileFailurePersistence::WithSource("regressions");
     ProptestConfig {
-        cases: chosen.unwrap_or(CASES),
+        cases: requested_cases.unwrap_or(CASES),
         max_shrink_iters: 200,
         failure_persistence: Some(Box::new(persistence)),
         ..ProptestConfig::default()
@@ -99,14 +103,14 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// The simulation checks at each step that no task runs on two machines and that no limit
-    /// is exceeded.
+    /// The end of each job must be stored exactly once. The simulation also checks after each step
+    /// that no task runs on two machines and that no team exceeds its quota limit.
     #[test]
     fn each_job_finishes_exactly_once_in_any_history(
         events in prop::collection::vec(history_event(), 1..14),
     ) {
-        let subsystems = format!("{ENABLED}[zone-failover.waves]\nmachines = 2\ntasks = 4\n");
-        let mut simulation = zones(3, &subsystems);
+        let subsystems = format!("{FAILOVER_ENABLED}[zone-failover.waves]\nmachines = 2\ntasks = 4\n");
+        let mut simulation = three_zones(3, &subsystems);
         simulation.cloud.has_capacity = true;
         simulation.network.copies_heartbeats = true;
         let ids = ["j-1", "j-2", "j-3"];
@@ -126,7 +130,7 @@
         finish_jobs(&mut simulation, &ids);
         for id in ids {
             let ends = simulation.store.write_count(&keys::ended(&id.into()));
-            prop_assert_eq!(ends, 1, "{} finished more than once", id);
+            prop_assert_eq!(ends, 1, "{} did not finish exactly once", id);
         }
     }
 }
--- a/src/controller/tests/zone_failover/mod.rs
+++ b/src/controller/tests/zone_failover/mod.rs
@@ -1,6 +1,7 @@
-//! Zone failover: zones that are lost and become healthy again, with the faults that coincide.
-//! All invariants are checked at every moment: no task runs on two machines, limits hold, and
-//! no answer is taken back.
+//! Tests of zone failover: zones are lost and become healthy again while other faults occur.
+//!
+//! The simulation checks its invariants after every step: no task runs on two machines, and no
+//! team exceeds its quota limit.
 
 mod capacity;
 mod controller_changes;
@@ -17,19 +18,24 @@
 use serde_json::json;
 
 /// The subsystems file that enables zone failover.
-const ENABLED: &str = "[zone-failover]\nenabled = true\n";
-/// One controller stands in each zone.
+const FAILOVER_ENABLED: &str = "[zone-failover]\nenabled = true\n";
+/// Number of controllers, one in each zone.
 const CONTROLLERS: usize = 3;
-/// Rounds of five seconds that jobs may take to be done.
+/// Maximum number of five-second rounds until jobs are done.
 const MAX_FINISH_ROUNDS: usize = 60;
 
-/// A controller and so many machines of four cores in each of the zones.
-fn zones(machines: usize, subsystems: &str) -> Simulation {
-    zones_with(machines, subsystems, |_| {})
+/// Starts a cluster of three zones, each with one controller and the given number of machines of
+/// four cores.
+fn three_zones(machines: usize, subsystems: &str) -> Simulation {
+    three_zones_with(machines, subsystems, |_| {})
 }
 
-/// The same, changed before the first step.
-fn zones_with(machines: usize, subsystems: &str, change: impl Fn(&mut Simulation)) -> Simulation {
+/// Starts the cluster of [`three_zones`] after applying a change to the simulation.
+fn three_zones_with(
+    machines: usize,
+    subsystems: &str,
+    change: impl Fn(&mut Simulation),
+) -> Simulation {
     let mut simulation = Simulation::builder(CONTROLLERS, 0)
         .settings(|settings| {
             settings["settings"]["zones"] = json!(ZONES);
@@ -54,7 +60,7 @@
     }
     change(&mut simulation);
     let settings = simulation.controllers[0].settings.clone();
-    let subsystems = Subsystems::parse(subsystems, &settings).expect("a file");
+    let subsystems = Subsystems::parse(subsystems, &settings).expect("a valid subsystems file");
     for controller in &mut simulation.controllers {
         controller.subsystems = subsystems.clone();
     }
@@ -63,42 +69,43 @@
     simulation
 }
 
-/// The recorded state of a zone.
+/// Returns the recorded state of a zone. A zone without a record is healthy.
 fn zone_state(simulation: &Simulation, zone: &str) -> String {
     let records = simulation.zone_records();
     let state = records.and_then(|records| records["zones"][zone]["state"].as_str());
     state.unwrap_or("healthy").to_owned()
 }
 
-fn zone_number(simulation: &Simulation, zone: &str, field: &str) -> u64 {
+/// Returns a numeric field of a zone's record, or 0 if it is not recorded.
+fn zone_field(simulation: &Simulation, zone: &str, field: &str) -> u64 {
     let records = simulation.zone_records();
     let number = records.and_then(|records| records["zones"][zone][field].as_u64());
     number.unwrap_or(0)
 }
 
-/// How often a zone was lost.
+/// Returns the epoch of a zone: the number of times that it has been lost.
 fn zone_epoch(simulation: &Simulation, zone: &str) -> u64 {
-    zone_number(simulation, zone, "epoch")
+    zone_field(simulation, zone, "epoch")
 }
 
-/// The evacuation wave that a zone is in.
+/// Returns the number of a zone's current evacuation wave.
 fn evacuation_wave(simulation: &Simulation, zone: &str) -> u64 {
-    zone_number(simulation, zone, "wave")
+    zone_field(simulation, zone, "wave")
 }
 
-/// The controller that leads.
+/// Returns the controller that the store records as leader. Panics without a leader.
 fn leader(simulation: &Simulation) -> usize {
     simulation.leader().expect("a leader")
 }
 
-/// The workers in a zone.
+/// Returns the indices of the workers in a zone, including workers of released machines.
 fn workers_in(simulation: &Simulation, zone: &str) -> Vec<usize> {
     (0..simulation.workers.len())
         .filter(|worker| simulation.workers[*worker].zone == zone)
         .collect()
 }
 
-/// The machines of a zone that were released.
+/// Returns the machines of a zone that were released.
 fn released_in(simulation: &Simulation, zone: &str) -> Vec<MachineId> {
     workers_in(simulation, zone)
         .into_iter()
@@ -107,7 +114,7 @@
         .collect()
 }
 
-/// The tasks that run in a zone and whose identifier begins with a prefix.
+/// Returns the number of tasks that run in a zone and whose identifier begins with a prefix.
 fn running_in(simulation: &Simulation, zone: &str, prefix: &str) -> usize {
     workers_in(simulation, zone)
         .into_iter()
@@ -115,7 +122,8 @@
         .sum()
 }
 
-/// The tasks that run outside of a zone and whose identifier begins with a prefix.
+/// Returns the number of tasks that run outside of a zone and whose identifier begins with a
+/// prefix.
 fn running_outside(simulation: &Simulation, zone: &str, prefix: &str) -> usize {
     ZONES
         .into_iter()
@@ -124,8 +132,9 @@
         .sum()
 }
 
-/// Jobs bound to two zones leave free capacity only in the third.
-fn fill(simulation: &mut Simulation, zones: [&str; 2], tasks: u32) {
+/// Fills two zones with jobs that are bound to them, `tasks` tasks in each, so that only the third
+/// zone has free capacity. The jobs are `j-90` and `j-91`.
+fn fill_zones(simulation: &mut Simulation, zones: [&str; 2], tasks: u32) {
     for (index, zone) in zones.into_iter().enumerate() {
         let mut filler = desc(&format!("j-9{index}"), tasks);
         filler.zone = Some(zone.into());
@@ -134,7 +143,8 @@
     simulation.advance(3.0);
 }
 
-/// Lets tasks end by themselves until each of the jobs is done.
+/// Lets tasks exit after two seconds until all of the given jobs are done. Panics if they are not
+/// done in time.
 fn finish_jobs(simulation: &mut Simulation, ids: &[&str]) {
     simulation.task_duration = Some(secs(2.0));
     let is_done =
@@ -145,9 +155,12 @@
         }
         simulation.advance(5.0);
     }
-    let open: Vec<&&str> = ids
+    let unfinished: Vec<&&str> = ids
         .iter()
         .filter(|id| simulation.ended_state(id).is_none())
         .collect();
-    panic!("not done: {open:?}; {:?}", simulation.zone_records());
+    panic!(
+        "jobs did not end in time: {unfinished:?}; zone records: {:?}",
+        simulation.zone_records()
+    );
 }
