--- a/src/controller/tests/autoscaling.rs
+++ b/src/controller/tests/autoscaling.rs
@@ -1,4 +1,5 @@
-//! Scale out and in: machine types, machines that never boot, idle machines.
+//! The autoscaler: the shared list of machine types, machines that never boot, and the release of
+//! idle machines.
 
 use super::simulation::{Simulation, secs};
 use crate::cloud::MachineType;
@@ -6,6 +7,8 @@
 use crate::settings::tests::settings;
 use crate::store::keys;
 
+/// Controllers must use the same machine types. The first list that the cloud returns is stored for
+/// all of them.
 #[test]
 fn first_machine_type_list_is_shared_through_the_store() {
     let simulation = Simulation::started(2, 1);
@@ -15,7 +18,8 @@
     assert_eq!(settings().platform.initial_size, 2);
 }
 
-/// While work waits for machines that do not come up, they are paid for.
+/// Machines that never boot are charged while tasks wait for them. They must be released after the
+/// boot timeout and replaced, and no further machines may be requested before that.
 #[test]
 fn machines_that_never_boot_are_replaced_and_not_requested_twice() {
     let mut simulation = Simulation::new(1, 0);
@@ -28,12 +32,12 @@
     simulation.advance(2.0);
     let requested = simulation.workers.len();
     simulation.keep_booting();
-    // The boot timeout: two and a half times the usual boot duration and ten seconds.
+    // The boot timeout is two and a half times the usual boot duration plus ten seconds.
     simulation.advance(80.0);
     assert_eq!(
         simulation.workers.len(),
         requested,
-        "they may still come up"
+        "no further machine is requested before the boot timeout"
     );
     assert!(
         simulation.cloud.released.is_empty(),
@@ -44,13 +48,18 @@
     assert_eq!(
         simulation.cloud.released.len(),
         requested,
-        "released, and paid for no longer"
+        "the machines are released and no longer charged"
     );
     simulation.advance(10.0);
-    assert_eq!(simulation.running_count(), 8, "on those added instead");
+    assert_eq!(
+        simulation.running_count(),
+        8,
+        "all tasks run on replacement machines"
+    );
 }
 
-/// The minimum charge of a minute is paid once, not again after each failover.
+/// An idle machine is kept until its minimum charge of one minute is used up. This time must not
+/// start anew at each failover, or rolling restarts would keep idle machines for ever.
 #[test]
 fn rolling_restarts_dont_keep_idle_machines_from_release() {
     let mut simulation = Simulation::started(2, 3);
--- a/src/controller/tests/cancellation.rs
+++ b/src/controller/tests/cancellation.rs
@@ -1,5 +1,6 @@
-//! Cancellations: a cancelled job's tasks end in time, and none starts afterwards, whatever
-//! is cut, rejected or down meanwhile.
+//! Cancellations: the tasks of a cancelled job end within the cancel timeout, and none starts
+//! afterwards. This must also hold while links are cut, or while the store rejects a controller or
+//! is down.
 
 use super::simulation::Simulation;
 use crate::controller::messages::Input;
@@ -7,6 +8,8 @@
 use crate::jobs::tests::desc;
 use crate::mesh::Message;
 
+/// The direct command that launches a task is delayed until the job has been cancelled. It must not
+/// start the task.
 #[test]
 fn cancelled_job_is_never_started_by_a_delayed_launch() {
     let mut simulation = Simulation::started(1, 1);
@@ -28,10 +31,12 @@
     assert_eq!(
         simulation.workers_running("j-2/0").len(),
         1,
-        "the machine still gets work"
+        "the machine still runs new jobs"
     );
 }
 
+/// An owner that is cut from the store does not receive a cancellation, but its workers still
+/// receive its answers. The tasks must end in time all the same.
 #[test]
 fn tasks_end_within_the_cancel_timeout_while_the_owner_is_cut_from_the_store() {
     let mut simulation = Simulation::started(2, 1);
@@ -46,15 +51,17 @@
     assert_eq!(simulation.running_count(), 0);
 }
 
-/// The store rejects the owner alone, another controller confirms a cancellation, and then
-/// the store is down for all, for longer than the cancel timeout, while workers go on sending
-/// heartbeats, after a pause of so many seconds.
+/// Checks a cancellation that the owner cannot read from the store.
+///
+/// The store rejects the owner only, while another controller confirms a cancellation. Then the
+/// store is down for all controllers for longer than the cancel timeout. Workers are paused for
+/// `pause_s` seconds and send heartbeats otherwise.
 fn cancel_during_rejection_and_outage(pause_s: f64) {
     let mut simulation = Simulation::started(3, 3);
     simulation.submit(&desc("j-1", 8));
-    let mut blue = desc("j-2", 4);
-    blue.team = "blue".into();
-    simulation.submit(&blue);
+    let mut other_team = desc("j-2", 4);
+    other_team.team = "blue".into();
+    simulation.submit(&other_team);
     simulation.advance(4.0);
     let owner = simulation.owner();
     simulation.controllers[owner].faults.is_rejected_by_store = true;
@@ -77,7 +84,7 @@
     assert_eq!(
         simulation.owner(),
         owner,
-        "its lease has its full time to live again"
+        "the owner keeps the partition: its lease has its full time to live again"
     );
     simulation.store.is_down = false;
     simulation.advance(8.0);
@@ -96,10 +103,13 @@
 
 #[test]
 fn cancellation_holds_when_workers_pause_in_a_rejection_before_an_outage() {
-    // Almost a worker lease: their tasks are still valid afterwards.
+    // The pause is slightly shorter than a worker lease, so the tasks are still valid after it.
     cancel_during_rejection_and_outage(28.0);
 }
 
+/// The store rejects an owner, so it cannot read a cancellation. It must act on the mesh message of
+/// the controller that confirmed the cancellation. A message whose revision the owner's watch has
+/// already applied must change nothing.
 #[test]
 fn cancellation_reaches_an_owner_without_the_store_over_the_mesh() {
     let mut simulation = Simulation::started(3, 2);
@@ -110,8 +120,8 @@
     simulation.cancel_through((owner + 1) % 3, "j-1");
     simulation.advance(4.0);
     assert_eq!(simulation.running_count(), 0);
-    // A job that the owner reads only after the message of its cancellation, since its watch
-    // lags behind.
+    // The owner's watch lags behind: it receives the message of a job's cancellation before it
+    // reads the job.
     simulation.controllers[owner].faults.is_rejected_by_store = false;
     let (job, revision) = ("j-2".into(), Revision(simulation.store.revision + 100));
     simulation.handle_input(owner, Input::Mesh(Message::Cancelled { job, revision }));
@@ -120,7 +130,7 @@
     simulation.advance(4.0);
     assert!(!simulation.has_started("j-2"));
     assert!(simulation.has_started("j-3"));
-    // A message with an older revision than the watch has applied changes nothing.
+    // A message with a revision that the watch has already applied changes nothing.
     let (job, revision) = ("j-3".into(), Revision(1));
     simulation.handle_input(owner, Input::Mesh(Message::Cancelled { job, revision }));
     simulation.advance(4.0);
--- a/src/controller/tests/characterization.rs
+++ b/src/controller/tests/characterization.rs
@@ -1,10 +1,11 @@
-//! The behaviour of the controllers, pinned: seeded histories of the simulation are
-//! played, and all effects of all controllers are digested in order and in the form that
-//! they have on the wire. No Rust name goes into the digest, so a change that only renames
-//! or restructures leaves the snapshot as it is.
+//! Characterization tests: they detect any change of the controllers' behaviour.
 //!
-//! A change that is meant to decide differently renews the snapshot:
-//! `INSTA_UPDATE=always cargo test --lib characterization`, and says so in its commit.
+//! Seeded histories of the simulation are run, and all effects of all controllers are digested, in
+//! order and in their wire format. No Rust name is part of the digest, so a change that only
+//! renames or restructures code leaves the snapshots unchanged.
+//!
+//! A commit that changes behaviour on purpose updates the snapshots with
+//! `INSTA_UPDATE=always cargo test --lib characterization` and says so in its message.
 
 use super::fault_pairs::{HistoryKind, recorded_pair};
 use crate::api::ports::{ApiView, HeartbeatAnswer};
@@ -19,12 +20,12 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Histories of each kind that are compared.
+/// Seeds of the histories that are compared, for each kind of history.
 const SEEDS: std::ops::Range<u64> = 0..16;
-/// Bytes of the digest that the snapshot shows.
+/// Number of bytes of the digest that the snapshot contains.
 const SHOWN_BYTES: usize = 12;
 
-/// Digests effects in their wire form, and counts them by kind.
+/// Digests effects in their wire format and counts them by kind.
 #[derive(Default)]
 pub struct WireRecorder {
     digest: Sha256,
@@ -32,7 +33,7 @@
 }
 
 impl WireRecorder {
-    /// Adds an effect of a controller at a moment.
+    /// Adds an effect that a controller produced at the given time.
     pub fn record(&mut self, now: Micros, controller: usize, effect: &Effect) {
         let (kind, wire) = wire_form(effect);
         *self.counts.entry(kind).or_default() += 1;
@@ -40,7 +41,7 @@
         self.digest.update(line);
     }
 
-    /// One line: the digest and the counts.
+    /// Returns the digest and the counts as one line.
     fn summary(self) -> String {
         let digest = self.digest.finalize();
         let mut line = String::new();
@@ -54,7 +55,7 @@
     }
 }
 
-/// The kind of an effect, and all that leaves the process with it.
+/// Returns the kind of an effect and the data that leaves the process with it.
 fn wire_form(effect: &Effect) -> (&'static str, String) {
     match effect {
         Effect::StoreRequest {
@@ -129,7 +130,7 @@
     json!([view.types.as_deref(), teams, view.healthy, view.format]).to_string()
 }
 
-/// The digests of histories of one kind, a line each.
+/// Returns the summaries of all histories of a kind, one per line.
 fn summaries(kind: HistoryKind) -> String {
     let line = |seed| format!("seed {seed}: {}", recorded_pair(seed, kind).summary());
     SEEDS.map(line).collect::<Vec<_>>().join("\n")
--- a/src/controller/tests/dependencies.rs
+++ b/src/controller/tests/dependencies.rs
@@ -1,5 +1,7 @@
-//! Jobs that depend on others: nothing starts early, dependents of a cancelled job are cancelled
-//! with it, and dependencies of an urgent job are done in time.
+//! Jobs that depend on other jobs.
+//!
+//! A job must not start before its dependencies are done. Dependents of a cancelled job are
+//! cancelled with it. Dependencies of an urgent job are scheduled with its urgency.
 
 use super::simulation::Simulation;
 use crate::api::read_index::JobLookup;
@@ -9,14 +11,14 @@
 use crate::mesh::Message;
 use crate::store::{Mutation, keys};
 
-/// A job of two tasks that depends on others.
+/// Returns a job of two tasks that depends on the given jobs.
 fn dependent(id: &str, dependencies: &[&str]) -> JobDesc {
     let mut job = desc(id, 2);
     job.dependencies = dependencies.iter().map(|id| JobId::from(*id)).collect();
     job
 }
 
-/// The status of a job by each controller.
+/// Returns the status of a job as reported by each controller.
 fn query_everywhere(simulation: &mut Simulation, id: &str) -> Vec<JobLookup> {
     simulation.users.lookups.clear();
     let controllers = simulation.controllers.len();
@@ -33,15 +35,18 @@
         .collect()
 }
 
+/// Asserts that each controller reports a job as cancelled.
 fn assert_cancelled_everywhere(simulation: &mut Simulation, id: &str) {
     for lookup in query_everywhere(simulation, id) {
         let JobLookup::Ended(record) = lookup else {
-            panic!("{id}: {lookup:?}");
+            panic!("{id} is not reported as ended: {lookup:?}");
         };
-        assert_eq!(record.state, JobState::Cancelled, "{id}");
+        assert_eq!(record.state, JobState::Cancelled, "end state of {id}");
     }
 }
 
+/// A dependency counts as done only once its end is stored. An end that only heartbeats have
+/// reported may be lost in a failover, and the dependency would run again beside its dependent.
 #[test]
 fn job_starts_only_after_its_dependencies_are_stored_as_done() {
     let mut simulation = Simulation::started(2, 2);
@@ -55,7 +60,11 @@
     simulation.finish("j-1/1");
     simulation.advance(3.0);
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
-    assert_eq!(simulation.running_count(), 2, "the other is not done yet");
+    assert_eq!(
+        simulation.running_count(),
+        2,
+        "the other dependency is not done"
+    );
     // All tasks have ended, and heartbeats report it, but the end is not stored.
     simulation.network.holds_owner_transactions = true;
     simulation.finish_all();
@@ -72,8 +81,10 @@
     assert_eq!(simulation.workers_running("j-4/0").len(), 1);
 }
 
+/// A new owner must learn from the store which dependencies are done. It must start no dependent
+/// before that.
 #[test]
-fn failover_and_restart_of_all_start_no_dependent_early() {
+fn failover_and_restart_of_all_controllers_start_no_dependent_early() {
     let mut simulation = Simulation::started(3, 2);
     simulation.submit(&desc("j-1", 2));
     simulation.submit(&dependent("j-2", &["j-1"]));
@@ -81,7 +92,7 @@
     simulation.advance(3.0);
     simulation.crash_owner();
     simulation.advance(40.0);
-    assert_eq!(simulation.running_count(), 2, "only the first one");
+    assert_eq!(simulation.running_count(), 2, "only the tasks of j-1 run");
     simulation.finish_all();
     simulation.advance(1.0);
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
@@ -95,12 +106,14 @@
     assert!(simulation.has_started("j-3"));
 }
 
+/// A job that waits for its dependencies must reserve no machine, cause no scale-out and not count
+/// as starving, however urgent it is.
 #[test]
 fn waiting_dependent_holds_no_capacity_and_its_wait_begins_when_it_is_ready() {
     let mut simulation = Simulation::started(1, 1);
     simulation.cloud.has_capacity = true;
     simulation.submit(&desc("j-1", 2));
-    // Larger than the machine that is up, and urgent; of the same team.
+    // The dependent needs more than the running machine has, is urgent, and is of the same team.
     let mut large = dependent("j-2", &["j-1"]);
     (large.tasks, large.cores, large.priority) = (4, 4.0, Priority::Production);
     simulation.submit(&large);
@@ -109,11 +122,15 @@
     simulation.advance(200.0);
     simulation.submit(&small);
     simulation.advance(3.0);
-    assert_eq!(simulation.workers.len(), 1, "nothing is added for it");
+    assert_eq!(
+        simulation.workers.len(),
+        1,
+        "no machine is added for a job that waits for its dependencies"
+    );
     assert_eq!(
         simulation.running_count(),
         8,
-        "it reserves no capacity, and starves no job"
+        "the dependent reserves no capacity and delays no job"
     );
     simulation.finish("j-1/0");
     simulation.finish("j-1/1");
@@ -121,6 +138,9 @@
     assert!(simulation.has_started("j-2"));
 }
 
+/// The owner stores the ends of cancelled dependents some time after the cancellation. Until then,
+/// every controller must already report them as cancelled. The next owner must store the ends if
+/// the owner crashes.
 #[test]
 fn dependents_of_a_cancelled_job_are_cancelled_at_every_controller_at_once() {
     let mut simulation = Simulation::started(3, 2);
@@ -132,7 +152,7 @@
     simulation.submit(&other_team);
     simulation.submit(&desc("j-5", 2));
     simulation.advance(3.0);
-    // None of their ends is stored, and yet no controller gives an older answer.
+    // No end of a dependent is stored, but every controller must report the cancellation.
     simulation.network.holds_owner_transactions = true;
     simulation.cancel_through(1, "j-2");
     for _ in 0..3 {
@@ -141,7 +161,10 @@
     }
     for id in ["j-1", "j-3", "j-5"] {
         for lookup in query_everywhere(&mut simulation, id) {
-            assert!(matches!(lookup, JobLookup::Live { .. }), "{id}: {lookup:?}");
+            assert!(
+                matches!(lookup, JobLookup::Live { .. }),
+                "{id} is not reported as live: {lookup:?}"
+            );
         }
     }
     assert_eq!(simulation.ended_state("j-4"), None);
@@ -153,10 +176,10 @@
     assert_eq!(
         simulation.ended_state("j-4"),
         Some(JobState::Cancelled),
-        "by the next owner"
+        "the next owner stores the end"
     );
     assert_cancelled_everywhere(&mut simulation, "j-4");
-    // A job that depends on a cancelled one is cancelled, and so are its dependents.
+    // A new job that depends on a cancelled job is cancelled, and so are its dependents.
     simulation.submit(&dependent("j-6", &["j-4", "j-5"]));
     simulation.submit(&dependent("j-7", &["j-6"]));
     simulation.advance(0.5);
@@ -167,6 +190,8 @@
     assert!(!simulation.has_started("j-6"));
 }
 
+/// A controller receives the message of a cancellation that the store does not confirm: the job is
+/// done. The job's dependent must not be cancelled.
 #[test]
 fn cancellation_that_the_store_does_not_confirm_cancels_no_dependent() {
     let mut simulation = Simulation::started(1, 1);
@@ -176,12 +201,12 @@
     simulation.finish_all();
     simulation.advance(2.0);
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
-    // A message of a cancellation that the store does not confirm changes nothing.
+    // The store has j-1 as done, so the message must have no effect.
     let (job, revision) = ("j-1".into(), Revision(1));
     simulation.controllers[0]
         .core
         .as_mut()
-        .expect("a core")
+        .expect("the controller is running")
         .handle_peer_message(simulation.now, Message::Cancelled { job, revision });
     simulation.advance(2.0);
     assert!(simulation.has_started("j-2"));
@@ -190,6 +215,8 @@
     assert_eq!(simulation.ended_state("j-2"), Some(JobState::Done));
 }
 
+/// The store is down right after a cancellation, for longer than the cancel timeout, so no end of a
+/// dependent can be stored. After the outage all dependents must be cancelled.
 #[test]
 fn outage_after_a_cancellation_leaves_no_dependent_uncancelled() {
     let mut simulation = Simulation::started(3, 2);
@@ -209,10 +236,12 @@
     assert_eq!(simulation.ended_state("j-3"), Some(JobState::Cancelled));
 }
 
+/// An urgent job of high priority depends on a job of the lowest priority. The dependency must
+/// start before an older job of its own priority, or the urgent job would miss its deadline.
 #[test]
 fn dependencies_of_an_urgent_job_go_first_within_their_priority() {
     let mut simulation = Simulation::started(1, 1);
-    // The team's limit is 16 cores; the machine has 16.
+    // Both the team's limit and the machine have 16 cores.
     let idle = |id: &str| {
         let mut job = desc(id, 8);
         (job.priority, job.deadline_s, job.cores) = (Priority::Idle, None, 2.0);
@@ -233,16 +262,16 @@
     assert_eq!(
         simulation.workers_running("j-3/0").len(),
         1,
-        "an urgent job depends on it"
+        "the job on which the urgent job depends has started"
     );
     assert!(
         !simulation.has_started("j-2"),
-        "though it has waited for longer"
+        "the older job has not started"
     );
 }
 
-/// Guards against a dependent that never starts: the record of an end that an earlier version
-/// wrote does not say when that was.
+/// Guards against a dependent that never starts. The record of a job's end that an earlier version
+/// wrote has no time, and must satisfy a dependency all the same.
 #[test]
 fn end_recorded_by_an_earlier_version_satisfies_a_dependency() {
     let mut simulation = Simulation::started(1, 1);
@@ -259,17 +288,19 @@
     assert!(simulation.has_started("j-2"));
 }
 
-/// While a machine is silent after a failover, older jobs wait for it, since their tasks may run
-/// there. No earlier owner can have started a job whose last dependency was done later.
+/// While a machine is silent after a failover, older jobs wait for it, because their tasks may run
+/// there. A job whose last dependency is done only after the failover cannot have been started by
+/// an earlier owner, so it must not wait.
 #[test]
 fn dependent_that_gets_ready_after_failover_does_not_wait_for_silent_machines() {
-    // Silent machines count against the team's limit, too.
+    // The limit is high because silent machines count against it.
     let mut simulation = Simulation::builder(2, 3)
         .settings(|settings| settings["settings"]["teams"][0]["cpus_max"] = 1_000.0.into())
         .started();
     simulation.submit(&desc("j-1", 1));
     simulation.submit(&dependent("j-2", &["j-1"]));
-    // Accepted earlier, and some of it not started for lack of capacity.
+    // The older job is accepted before the failover. Some of its tasks have not started for lack of
+    // capacity.
     let mut older = desc("j-3", 4);
     older.cores = 14.0;
     simulation.submit(&older);
@@ -280,7 +311,7 @@
     let owner = simulation.crash_owner();
     simulation.advance(21.0);
     assert_ne!(simulation.owner(), owner);
-    // Capacity for the older job's next task, beside the silent machine.
+    // A task of the older job ends, which frees capacity for its next task.
     let older_running =
         |simulation: &Simulation| simulation.workers[first].running_tasks("j-3/").count();
     assert_eq!(older_running(&simulation), 1);
@@ -291,11 +322,15 @@
     simulation.advance(2.0);
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
     assert!(simulation.has_started("j-2"));
-    assert_eq!(older_running(&simulation), 0, "it waits");
+    assert_eq!(
+        older_running(&simulation),
+        0,
+        "the older job waits for the silent machine"
+    );
     simulation.advance(40.0);
     assert_eq!(
         older_running(&simulation),
         1,
-        "until nothing can run there any more"
+        "the older job continues once the silent machine's lease has expired"
     );
 }
--- a/src/controller/tests/failing_jobs.rs
+++ b/src/controller/tests/failing_jobs.rs
@@ -1,10 +1,12 @@
-//! Jobs submitted with a mistake, whose tasks all fail: they are retried with back-off, at
-//! nobody else's expense.
+//! Jobs whose tasks all fail because of an error in the job. They are retried with back-off, and
+//! must not affect machines or other jobs.
 
 use super::simulation::{ExitCause, Simulation, secs};
 use crate::jobs::JobState;
 use crate::jobs::tests::desc;
 
+/// A machine whose tasks fail is quarantined. Failures that the job itself causes must not count
+/// against the machines.
 #[test]
 fn failing_job_quarantines_no_machine() {
     let mut simulation = Simulation::started(1, 2);
@@ -19,8 +21,8 @@
     assert_eq!(simulation.workers_running("j-2/0").len(), 1);
 }
 
-/// Guards against a team with the lowest heaviness only because its tasks fail at once and so
-/// hold no cores.
+/// Guards against a team that was scheduled first because its tasks failed immediately. They held
+/// no cores, so the team had the lowest weighted usage (heaviness).
 #[test]
 fn retries_of_a_failing_job_count_as_usage_of_its_team() {
     let mut simulation = Simulation::started(1, 4);
@@ -32,7 +34,7 @@
         simulation.cloud.released.is_empty(),
         "no machine is quarantined"
     );
-    // Both need a whole machine, and there is one.
+    // Each of the next two jobs needs a whole machine, and only one is connected.
     for worker in &mut simulation.workers[1..] {
         worker.is_isolated = true;
     }
@@ -48,22 +50,25 @@
     while !simulation.has_started("j-2") && !simulation.has_started("j-3") {
         simulation.advance(0.1);
         steps += 1;
-        assert!(steps < 400, "one of them starts");
+        assert!(steps < 400, "one of the two jobs starts");
     }
-    assert!(simulation.has_started("j-3"), "the other team comes first");
+    assert!(
+        simulation.has_started("j-3"),
+        "the job of the other team starts first"
+    );
     simulation.advance(30.0);
     assert!(
         simulation.has_started("j-2"),
-        "and its own healthy job after it"
+        "the healthy job of the failing job's team starts next"
     );
     simulation.cancel("j-1");
     simulation.advance(10.0);
     assert!(simulation.running_count_of("j-1/") == 0);
 }
 
-/// Guards against twice the price of the work: all tasks of a failing job were started after
-/// every back-off, so that idle machines were never idle for long enough to be released, and
-/// machines were added for tasks that waited for their back-off.
+/// Guards against paying twice the price of the work. All tasks of a failing job were started after
+/// every back-off, so machines were never idle for long enough to be released. Machines were also
+/// added for tasks that waited for their back-off.
 #[test]
 fn always_failing_job_scales_nothing_out_and_idle_machines_are_released() {
     let mut simulation = Simulation::new(1, 4);
@@ -76,7 +81,7 @@
     let mut array = desc("j-1", 32);
     array.cores = 0.5;
     simulation.submit(&array);
-    // A healthy job runs beside it, with one machine to itself.
+    // A healthy job runs at the same time and uses one machine alone.
     let mut healthy = desc("j-2", 1_000);
     (healthy.cores, healthy.team) = (8.0, "blue".into());
     simulation.submit(&healthy);
@@ -87,18 +92,21 @@
         simulation.advance(0.1);
         max_running = max_running.max(simulation.running_count_of("j-1/"));
     }
-    assert!(max_running <= 3, "{max_running} of its tasks at once");
+    assert!(
+        max_running <= 3,
+        "{max_running} tasks of the failing job ran at the same time"
+    );
     assert_eq!(
         simulation.workers.len(),
         machine_count,
-        "nothing is added for it"
+        "no machine is added for the failing job"
     );
     assert!(
         simulation.cloud.released.len() >= 2,
-        "{:?} released",
+        "machines released: {:?}",
         simulation.cloud.released
     );
-    // The mistake is corrected: after one success all of its tasks run.
+    // The job's error is corrected. After its first success, all of its tasks may run.
     simulation.users.failing_jobs.clear();
     simulation.advance(60.0);
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -1,11 +1,13 @@
-//! Failover of a partition: the next owner adopts what runs, starts nothing twice, and waits
-//! for silent machines only as long as their tasks may still run.
+//! Failover of a partition: the next owner adopts running tasks, starts no task twice, and waits
+//! for silent machines only as long as tasks may still run there.
 
 use super::simulation::Simulation;
 use crate::ids::AttemptId;
 use crate::jobs::JobState;
 use crate::jobs::tests::desc;
 
+/// The next owner must adopt the running tasks of a crashed owner. It must not start them again,
+/// and must record their end.
 #[test]
 fn failover_adopts_running_tasks_and_starts_none_twice() {
     let mut simulation = Simulation::started(2, 2);
@@ -23,6 +25,9 @@
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
 }
 
+/// A machine is silent after a failover, so the new owner does not know which tasks run there.
+/// Until the worker's lease has expired, it must not start tasks that may run there, and must count
+/// the machine against the team's limit.
 #[test]
 fn after_failover_older_jobs_wait_for_silent_machines() {
     let mut simulation = Simulation::started(2, 2);
@@ -40,11 +45,11 @@
     assert_eq!(
         simulation.workers_running("j-1/0"),
         vec![silent],
-        "it may still run on the isolated machine"
+        "the task may still run on the isolated machine"
     );
     assert!(
         simulation.workers_running("j-2/0").is_empty(),
-        "the silent machine may use up the whole limit"
+        "tasks on the silent machine may use the whole limit of the team"
     );
     simulation.advance(40.0);
     assert_eq!(simulation.workers_running("j-1/0").len(), 1);
@@ -55,6 +60,8 @@
     );
 }
 
+/// A worker identifies an attempt by its number. If a new owner used a number again, a late command
+/// for the old attempt would apply to the new one.
 #[test]
 fn attempt_numbers_never_repeat_after_failover() {
     let mut simulation = Simulation::started(2, 1);
@@ -70,19 +77,21 @@
     assert!(AttemptId(second) > AttemptId(first));
 }
 
+/// After a failover, a job waits for silent machines because its tasks may already run there. A job
+/// that is bound to another zone cannot run there, so it must not wait.
 #[test]
 fn after_failover_a_job_waits_only_for_machines_that_it_may_run_on() {
     let mut simulation = Simulation::builder(2, 4).team_limits(64.0).build();
     simulation.workers[0].zone = "y";
     simulation.advance(6.0);
-    // The one machine in the other zone gets isolated, and all controllers end. Both jobs
-    // are older than the failover, so the next owner must assume that they were started.
+    // The only machine in the other zone is isolated, and all controllers crash. Both jobs are
+    // older than the failover, so the next owner must assume that they were started.
     simulation.workers[0].is_isolated = true;
     simulation.cloud.is_unreachable = true;
     simulation.crash_all_controllers();
-    let mut bound = desc("j-1", 2);
-    bound.zone = Some("x".into());
-    simulation.submit(&bound);
+    let mut zone_bound = desc("j-1", 2);
+    zone_bound.zone = Some("x".into());
+    simulation.submit(&zone_bound);
     simulation.submit(&desc("j-2", 2));
     simulation.advance(1.0);
     simulation.start_all_controllers();
@@ -90,20 +99,22 @@
     assert_eq!(
         simulation.workers_running("j-1/0").len(),
         1,
-        "it can't run in the other zone"
+        "j-1 cannot run in the zone of the silent machine"
     );
     assert!(
         simulation.workers_running("j-2/0").is_empty(),
-        "it can, so it waits"
+        "j-2 may run on the silent machine, so it waits"
     );
     simulation.advance(40.0);
     assert_eq!(
         simulation.running_count(),
         4,
-        "until that worker's lease has expired"
+        "j-2 starts once the silent worker's lease has expired"
     );
 }
 
+/// Tasks of a job end shortly before and after the owner crashes, and the owner's last write is
+/// delayed. The job must be recorded as done once, and tasks that were done must not run again.
 #[test]
 fn job_whose_tasks_end_around_a_failover_is_done_once() {
     let mut simulation = Simulation::started(3, 2);
@@ -128,7 +139,7 @@
     simulation.advance(5.0);
     assert!(
         simulation.workers_running("j-1/0").is_empty(),
-        "known to be done"
+        "the task that was done does not run again"
     );
     simulation.finish("j-1/2");
     simulation.advance(6.0);
--- a/src/controller/tests/fencing.rs
+++ b/src/controller/tests/fencing.rs
@@ -1,23 +1,29 @@
-//! Fencing tokens and agent epochs: a direct command that is late, or arrives once more, has
-//! no effect.
+//! Fencing tokens and agent epochs: a direct command that arrives late or for a second time has no
+//! effect.
 
 use super::simulation::Simulation;
 use crate::jobs::JobState;
 use crate::jobs::tests::desc;
 
+/// A direct command that launches a task is delayed until the task has ended. It must not start the
+/// task again.
 #[test]
 fn delayed_direct_command_is_fenced() {
     let mut simulation = Simulation::started(1, 1);
     simulation.network.holds_commands = true;
     simulation.submit(&desc("j-1", 1));
     simulation.advance(3.0);
-    assert_eq!(simulation.network.held_commands.len(), 1, "lost on its way");
+    assert_eq!(
+        simulation.network.held_commands.len(),
+        1,
+        "the launch is held back"
+    );
     simulation.network.holds_commands = false;
     simulation.advance(2.5);
     assert_eq!(
         simulation.workers_running("j-1/0").len(),
         1,
-        "launched by a heartbeat response instead"
+        "a heartbeat response launches the task instead"
     );
     simulation.finish_all();
     simulation.advance(6.0);
@@ -27,13 +33,16 @@
     assert_eq!(
         simulation.running_count(),
         0,
-        "its token is lower than the highest that the worker has seen"
+        "the command's token is lower than the highest token that the worker has accepted"
     );
 }
 
-/// Two workers that have sent many heartbeats, so that those of a restarted one would count
-/// as outdated for long, and the index of the one that runs a task.
-fn with_a_task_after_many_heartbeats() -> (Simulation, usize) {
+/// Starts a cluster of two workers with high heartbeat sequence numbers and a task. Returns the
+/// simulation and the index of the worker that runs the task.
+///
+/// A restarted worker begins its sequence numbers anew, so its heartbeats would count as outdated
+/// for a long time if only the numbers were compared.
+fn start_with_high_heartbeat_sequence() -> (Simulation, usize) {
     let mut simulation = Simulation::started(1, 2);
     for worker in &mut simulation.workers {
         worker.heartbeat_sequence += 1_000;
@@ -44,10 +53,12 @@
     (simulation, worker)
 }
 
+/// A worker restarts and loses its state while a launch is on its way to it. Its heartbeats must
+/// count again within seconds, and late commands must start no task a second time.
 #[test]
 fn restarted_worker_is_known_again_and_delayed_commands_do_no_harm() {
-    let (mut simulation, worker) = with_a_task_after_many_heartbeats();
-    // A launch that gets lost on its way there.
+    let (mut simulation, worker) = start_with_high_heartbeat_sequence();
+    // The launch of j-2 is held back.
     simulation.network.holds_commands = true;
     simulation.submit(&desc("j-2", 1));
     simulation.advance(0.2);
@@ -64,12 +75,13 @@
     );
     assert!(
         simulation.cloud.released.is_empty(),
-        "its heartbeats count again"
+        "no machine is released, since the heartbeats of the restarted worker count"
     );
-    // Copies of the commands that were lost, and of those that were executed before.
-    let lost = simulation.network.take_held_commands();
+    // Copies arrive of the command that was held back and of the commands that were executed
+    // before.
+    let held = simulation.network.take_held_commands();
     let executed = simulation.network.delivered_commands.clone();
-    for copy in lost.iter().chain(&executed) {
+    for copy in held.iter().chain(&executed) {
         simulation.deliver_command(copy);
         simulation.check_invariants();
     }
@@ -77,9 +89,11 @@
     assert!(simulation.cloud.released.is_empty());
 }
 
+/// A restarted worker has lost its fencing token, so it would accept a copy of a launch from before
+/// the restart. The owner must raise the token first.
 #[test]
 fn copy_of_an_executed_launch_is_fenced_at_a_restarted_worker() {
-    let (mut simulation, worker) = with_a_task_after_many_heartbeats();
+    let (mut simulation, worker) = start_with_high_heartbeat_sequence();
     let launches = simulation.network.delivered_commands.clone();
     assert!(
         launches
@@ -92,7 +106,7 @@
     simulation.cancel("j-1");
     simulation.advance(5.0);
     for copy in &launches {
-        // Under the token from before the restart, it would run once more.
+        // With the fencing token from before the restart, the worker would run the task again.
         simulation.deliver_command(copy);
         assert_eq!(simulation.running_count(), 0);
     }
--- a/src/controller/tests/formats.rs
+++ b/src/controller/tests/formats.rs
@@ -149,7 +149,7 @@
 }
 
 /// Returns the key and the field names of each stored record. Shards of machine records, usage sums
-/// and machine types are left out, because their JSON keys are identifiers, not field names.
+/// and machine types are left out, because their JSON has no fixed fields at the top level.
 fn record_fields(simulation: &Simulation) -> Vec<(String, BTreeSet<String>)> {
     let fields = |value: &Value| match value {
         Value::Object(fields) => fields.keys().cloned().collect(),
--- a/src/controller/tests/heartbeats.rs
+++ b/src/controller/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: who accepts them, and that late copies of them change nothing.
+//! Heartbeats: only the partition's owner accepts them, and late copies of them have no effect.
 
 use super::simulation::Simulation;
 use crate::api::ports::HeartbeatAnswer;
@@ -6,6 +6,8 @@
 use crate::jobs::JobState;
 use crate::jobs::tests::desc;
 
+/// A controller that is not the owner must redirect a worker to the owner. If it answered the
+/// heartbeat itself, the worker would renew its lease while the owner counts it as silent.
 #[test]
 fn only_the_partition_owner_accepts_a_heartbeat() {
     let mut simulation = Simulation::started(2, 1);
@@ -18,7 +20,7 @@
         simulation.deliver_heartbeat_of(0, other),
         Some(HeartbeatAnswer::Redirect(label))
     );
-    // A machine of no partition is answered by no controller.
+    // No controller accepts the heartbeat of a machine that no partition records.
     let mut heartbeat = simulation.workers[0].heartbeat();
     heartbeat.machine = MachineId::from("m-999999");
     assert_eq!(
@@ -27,17 +29,19 @@
     );
 }
 
+/// A late copy of a heartbeat shows an outdated state. It must not restore ended tasks, and a copy
+/// from an earlier agent epoch must not renew the worker's lease at the owner.
 #[test]
 fn late_heartbeat_copies_change_nothing() {
     let mut simulation = Simulation::started(2, 2);
-    let blank = simulation.workers[0].heartbeat();
+    let without_tasks = simulation.workers[0].heartbeat();
     simulation.submit(&desc("j-1", 4));
     simulation.advance(3.0);
     let worker = simulation.workers_running("j-1/0")[0];
     let owner = simulation.owner();
     let running = simulation.workers[worker].heartbeat();
     simulation.advance(2.0);
-    // Seconds late: the tasks that it shows have ended since.
+    // This copy arrives seconds late: the tasks that it reports as running have ended since.
     simulation.finish_all();
     simulation.advance(5.0);
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
@@ -47,7 +51,7 @@
     );
     simulation.advance(5.0);
     assert_eq!(simulation.running_count(), 0);
-    // Late by more than a lease, from an earlier agent epoch: it is no sign of life.
+    // These copies arrive later than a worker lease: they do not show that the worker is alive.
     simulation.submit(&desc("j-2", 4));
     simulation.advance(3.0);
     let silent = simulation.workers_running("j-2/0")[0];
@@ -59,23 +63,26 @@
     for _ in 0..20 {
         simulation.advance(2.0);
         simulation.deliver_late_heartbeat(owner, &copy);
-        simulation.deliver_late_heartbeat(owner, &blank);
+        simulation.deliver_late_heartbeat(owner, &without_tasks);
     }
     assert_ne!(
         simulation.workers_running("j-2/0"),
         vec![silent],
-        "its lease has expired all the same"
+        "the worker's lease expires in spite of the late copies"
     );
     assert_eq!(simulation.workers_running("j-2/0").len(), 1);
 }
 
+/// A new owner has received no heartbeat from a machine. A copy from before the failover must not
+/// count as the machine's current state: the owner would start tasks elsewhere that still run
+/// there.
 #[test]
 fn late_heartbeat_copy_after_failover_confirms_nothing() {
     let mut simulation = Simulation::started(2, 2);
     simulation.submit(&desc("j-0", 1));
     simulation.advance(3.0);
     let worker = simulation.workers_running("j-0/0")[0];
-    // Both machines run nothing but j-0, as copies will show them later.
+    // According to these copies, the machines run no task but that of j-0.
     let copies = [
         simulation.workers[0].heartbeat(),
         simulation.workers[1].heartbeat(),
@@ -91,22 +98,24 @@
     let owner = simulation.owner();
     assert_ne!(owner, previous_owner);
     for mut copy in copies {
-        // It is the first that the new owner receives from this machine.
+        // The copy is the first heartbeat that the new owner receives from this machine.
         let answer = simulation.deliver_late_heartbeat(owner, &copy);
         assert!(
             matches!(answer, Some(HeartbeatAnswer::Accepted(response)) if response.commands.is_empty()),
-            "it gets the fencing token at most"
+            "the answer has the fencing token at most, and no command"
         );
-        // Not even a copy with the token of a lower term confirms anything.
+        // A copy with a higher token, but still of a lower term, confirms nothing either.
         copy.fencing_token = FencingToken(copy.fencing_token.0 + 1);
         simulation.deliver_late_heartbeat(owner, &copy);
     }
     simulation.workers[1 - worker].is_isolated = false;
-    // Had the copy counted, j-1 would be started once more on the other machine.
+    // If the copy counted, j-1 would be started a second time on the other machine.
     simulation.advance(5.0);
     assert!(simulation.workers_running("j-1/0").len() <= 1);
 }
 
+/// A late heartbeat of a released machine must not add the machine to the stored records again,
+/// because tasks would be placed on it.
 #[test]
 fn late_heartbeat_of_a_released_machine_records_no_machine() {
     let mut simulation = Simulation::started(1, 3);
--- a/src/controller/tests/mod.rs
+++ b/src/controller/tests/mod.rs
@@ -1,8 +1,9 @@
 //! Cluster tests of the controllers.
 //!
-//! Most tests run the controllers' cores in a deterministic simulation ([`simulation`]); one
-//! runs whole controllers with real sockets on loopback ([`loopback`]). There is one module for
-//! each behaviour, and [`fault_pairs`] combines random faults.
+//! Most tests run the controllers' cores in a deterministic simulation ([`simulation`]). One test
+//! runs whole controllers with real sockets on loopback ([`loopback`]). The tests are grouped into
+//! modules by behaviour. In addition, [`fault_pairs`] combines random faults, and
+//! [`characterization`] detects any change of behaviour.
 
 mod autoscaling;
 mod cancellation;
--- a/src/controller/tests/partition_ownership.rs
+++ b/src/controller/tests/partition_ownership.rs
@@ -1,4 +1,5 @@
-//! Ownership of partitions: release, grants to members, and which partition records a machine.
+//! Ownership of partitions: an owner releases a partition, the leader grants it to a member, and
+//! each machine is recorded in exactly one partition.
 
 use super::simulation::{HeldTransaction, Simulation};
 use crate::api::ports::HeartbeatAnswer;
@@ -7,14 +8,16 @@
 use crate::partitions::ShardRecord;
 use std::collections::BTreeMap;
 
-/// The owner's record of the first partition.
+/// Store key of the first partition's owner record.
 const OWNER_KEY: &str = "r/blocks/0/holder";
 
+/// An owner that reaches neither its workers nor its peers cannot serve its partition. It must
+/// release the partition, and the leader must grant it to another controller.
 #[test]
 fn owner_without_machines_and_peers_releases_its_partition() {
     let mut simulation = Simulation::started(3, 3);
     let previous_owner = simulation.owner();
-    // The others reach the workers, but nobody reaches a peer.
+    // No controller reaches a peer, but the other controllers reach the workers.
     for controller in &mut simulation.controllers {
         controller.faults.is_cut_from_peers = true;
     }
@@ -25,15 +28,16 @@
     assert_ne!(
         simulation.owner(),
         previous_owner,
-        "it is not granted to the same controller again"
+        "the partition is not granted to the same controller again"
     );
     simulation.submit(&desc("j-1", 4));
     simulation.advance(12.0);
     assert_eq!(simulation.running_count(), 4);
 }
 
-/// So many controllers and machines, with quotas that make two partitions.
-fn two_partitions(controllers: usize, machines: usize) -> Simulation {
+/// Builds a cluster whose quotas are so large that it has two partitions, and advances it until
+/// they have owners.
+fn two_partition_cluster(controllers: usize, machines: usize) -> Simulation {
     let mut simulation = Simulation::builder(controllers, machines)
         .team_quotas(4_000.0, 4_000.0)
         .build();
@@ -41,9 +45,11 @@
     simulation
 }
 
+/// After a restart of all controllers, the first one registers a little earlier than the others.
+/// The leader must not grant it all partitions.
 #[test]
-fn after_a_restart_of_all_the_first_member_does_not_get_every_partition() {
-    let mut simulation = two_partitions(3, 4);
+fn after_a_restart_of_all_controllers_the_first_member_does_not_get_every_partition() {
+    let mut simulation = two_partition_cluster(3, 4);
     let owners = |simulation: &Simulation| {
         [0, 1].map(|partition| {
             let key = format!("r/blocks/{partition}/holder");
@@ -54,7 +60,7 @@
     assert_ne!(first, second);
     simulation.crash_all_controllers();
     simulation.advance(25.0);
-    // The first is back a little before the others.
+    // The first controller starts 1.7 s before the others.
     simulation.start_controller(0);
     simulation.advance(1.7);
     simulation.start_controller(1);
@@ -64,8 +70,10 @@
     assert_ne!(first, second);
 }
 
-/// The release gets no answer, and then the watch fails: the next owner counts silent workers'
-/// leases from its own grant.
+/// An owner gets no answer to the release of its partition, and then loses its watch, so it does
+/// not learn of the next grant. It must answer no heartbeat after the release: the next owner
+/// counts the leases of silent workers from its own grant, and an answer would renew a lease after
+/// that.
 #[test]
 fn owner_that_released_its_partition_answers_no_heartbeat() {
     let mut simulation = Simulation::started(3, 2);
@@ -78,7 +86,8 @@
     simulation.controllers[previous_owner]
         .faults
         .loses_write_answers = true;
-    // It receives no heartbeat, so it releases the partition; the write is committed.
+    // The owner receives no heartbeat, so it releases the partition. The write is committed, but
+    // the owner does not receive the answer.
     let owner = |simulation: &Simulation| simulation.store.value(OWNER_KEY)["holder"].clone();
     let recorded_owner = owner(&simulation);
     for _ in 0..300 {
@@ -98,13 +107,15 @@
     let answer = simulation.deliver_heartbeat_of(0, previous_owner);
     assert!(
         !matches!(answer, Some(HeartbeatAnswer::Accepted(_))),
-        "{answer:?}"
+        "unexpected answer to the heartbeat: {answer:?}"
     );
     simulation.advance(60.0);
     assert_ne!(simulation.owner(), previous_owner);
     assert_eq!(simulation.running_count(), 8);
 }
 
+/// The store rejects the release of a partition. The owner still owns it and must go on answering
+/// heartbeats.
 #[test]
 fn rejected_release_of_a_partition_changes_nothing() {
     let mut simulation = Simulation::started(3, 2);
@@ -120,11 +131,11 @@
     let answer = simulation.deliver_heartbeat_of(0, owner);
     assert!(
         matches!(answer, Some(HeartbeatAnswer::Accepted(_))),
-        "{answer:?}"
+        "unexpected answer to the heartbeat: {answer:?}"
     );
 }
 
-/// The keys of the shards that record each machine.
+/// Returns the keys of the shards that record each machine.
 fn shards_by_machine(simulation: &Simulation) -> BTreeMap<MachineId, Vec<String>> {
     let mut shards: BTreeMap<MachineId, Vec<String>> = BTreeMap::new();
     for (key, value) in simulation.store.machine_shards() {
@@ -136,13 +147,13 @@
     shards
 }
 
-/// The leader's write that adds machines to a partition is delayed, so that it adds them to
-/// another one, and then the first write is committed.
+/// The leader's write that adds machines to a partition is delayed, so the leader adds them to
+/// another partition. When the first write reaches the store, no machine may be recorded in both.
 #[test]
 fn delayed_machine_records_put_no_machine_into_two_partitions() {
-    let mut simulation = two_partitions(2, 2);
+    let mut simulation = two_partition_cluster(2, 2);
     let leader = simulation.leader().expect("a leader");
-    // New machines come up while the leader's writes get no answer.
+    // New machines are running while the leader's writes are delayed.
     simulation.controllers[leader].faults.has_delayed_writes = true;
     simulation.add_machines(4);
     let adds_machine =
@@ -155,24 +166,35 @@
     while delayed(&simulation).is_none() {
         simulation.advance(0.1);
         steps += 1;
-        assert!(steps < 100, "the write is sent");
+        assert!(
+            steps < 100,
+            "the leader sends the write that adds the new machines"
+        );
     }
     let delayed = delayed(&simulation).expect("the write");
-    // A job of the other partition's team lacks capacity, so all new machines go there.
-    let is_of_first = format!("{delayed:?}").contains("r/blocks/0/machines");
+    // A job of the other partition's team lacks capacity, so the leader adds the new machines
+    // there.
+    let is_first_partition = format!("{delayed:?}").contains("r/blocks/0/machines");
     let mut job = desc("j-1", 40);
-    job.team = ["red", "blue"][usize::from(is_of_first)].into();
-    simulation.submit_to(&job, u64::from(is_of_first));
+    job.team = ["red", "blue"][usize::from(is_first_partition)].into();
+    simulation.submit_to(&job, u64::from(is_first_partition));
     simulation.advance(3.0);
     simulation.controllers[leader].faults.has_delayed_writes = false;
     let mut steps = 0;
     while !shards_by_machine(&simulation).contains_key(&MachineId::from("m-000002")) {
         simulation.advance(0.1);
         steps += 1;
-        assert!(steps < 100, "recorded without it");
+        assert!(
+            steps < 100,
+            "the new machines are recorded without the delayed write"
+        );
     }
     simulation.deliver_transactions(vec![delayed]);
     for (id, shards) in shards_by_machine(&simulation) {
-        assert_eq!(shards.len(), 1, "{id} is in {shards:?}");
+        assert_eq!(
+            shards.len(),
+            1,
+            "{id} is recorded in several shards: {shards:?}"
+        );
     }
 }
--- a/src/controller/tests/quotas.rs
+++ b/src/controller/tests/quotas.rs
@@ -1,14 +1,16 @@
-//! Quotas and placement constraints: no team exceeds its limit, also with what silent machines
-//! may still run, and unused capacity is lent.
+//! Quotas and placement constraints: no team exceeds its quota limit, including tasks that silent
+//! machines may still run, and unused capacity is lent to other teams.
 
 use super::simulation::{Simulation, secs};
 use crate::jobs::JobState;
 use crate::jobs::tests::{desc, types};
 
+/// After a failover the new owner does not know which tasks a silent machine runs. It must assume
+/// that the machine uses up the team's limit, or the team would exceed it.
 #[test]
 fn silent_machine_counts_against_the_team_limit() {
     let mut simulation = Simulation::started(2, 3);
-    // 16 cores are the limit; 8 tasks of 2 cores use it up.
+    // The limit is 16 cores, and 8 tasks of 2 cores use it up.
     simulation.submit(&desc("j-1", 8));
     simulation.advance(3.0);
     assert_eq!(simulation.running_count(), 8);
@@ -22,11 +24,13 @@
     simulation.advance(3.0);
     assert!(
         simulation.running_count() <= 8,
-        "{} tasks of 2 cores for 16 cores",
+        "{} tasks of 2 cores run, the limit is 16 cores",
         simulation.running_count()
     );
 }
 
+/// Each task of a large job must keep to the team's limit and to the job's placement constraint,
+/// not only the job's first tasks.
 #[test]
 fn anti_affinity_and_team_limits_hold_for_every_task() {
     let mut simulation = Simulation::started(1, 3);
@@ -48,12 +52,17 @@
             })
             .sum::<usize>()
     };
-    assert_eq!(task_count("j-1/"), 8, "16 cores for tasks of 2");
-    // All machines are in one zone: at most half of five, rounded up.
+    assert_eq!(
+        task_count("j-1/"),
+        8,
+        "8 tasks of 2 cores use the limit of 16 cores"
+    );
+    // All machines are in one zone, which may run at most half of the five tasks, rounded up.
     assert_eq!(task_count("j-2/"), 3);
 }
 
-/// Nothing is guaranteed to guests, so they come last, and a limit of 0 means none.
+/// A team without a guaranteed quota comes last, and its limit of 0 means that it has no limit. It
+/// may use capacity that other teams leave unused.
 #[test]
 fn guest_team_without_quotas_is_served_with_unused_capacity() {
     let mut simulation = Simulation::builder(1, 3).guest_team().build();
@@ -70,9 +79,9 @@
     assert_eq!(
         simulation.running_count(),
         192,
-        "all capacity: four on each core"
+        "the tasks use the whole capacity, four tasks on each core"
     );
-    // Never at the cost of a guarantee: freed capacity goes to the team that is below it.
+    // Freed capacity goes first to a team that is below its guaranteed quota.
     simulation.submit(&desc("j-2", 4));
     simulation.advance(6.0);
     assert_eq!(
@@ -84,48 +93,54 @@
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
 }
 
-/// A cancelled job has no record any more, but its tasks run until their worker receives the
-/// command: they count against their team's limit, and no other's.
+/// A cancelled job no longer has a job record, but its tasks run until their worker receives the
+/// stop command. Until then they must count against the limit of their own team, and of no other
+/// team.
 #[test]
 fn tasks_of_a_cancelled_job_count_against_its_team_limit_after_failover() {
     let mut simulation = Simulation::started(2, 3);
     simulation.submit(&desc("j-1", 8));
     simulation.advance(3.0);
     let worker = simulation.workers_running("j-1/0")[0];
-    assert_eq!(simulation.running_count(), 8, "all that the team may use");
+    assert_eq!(
+        simulation.running_count(),
+        8,
+        "the tasks use the whole limit of the team"
+    );
     simulation.cloud.is_unreachable = true;
     simulation.crash_owner();
     simulation.cancel("j-1");
-    // It receives the new fencing token, and nothing after that.
+    // The worker receives the new fencing token, and no answer or command after that.
     let first_token = simulation.workers[worker].fencing_token;
     while simulation.workers[worker].fencing_token == first_token {
         simulation.advance(0.1);
     }
     simulation.workers[worker].is_unreachable = true;
     simulation.submit(&desc("j-2", 8));
-    let mut blue = desc("j-3", 8);
-    blue.team = "blue".into();
-    simulation.submit(&blue);
+    let mut other_team = desc("j-3", 8);
+    other_team.team = "blue".into();
+    simulation.submit(&other_team);
     simulation.advance(12.0);
     assert!(
         simulation.workers[worker].running_tasks("j-1/").count() > 0,
-        "they keep running"
+        "the cancelled tasks keep running"
     );
     assert_eq!(
         simulation.workers_running("j-3/0").len(),
         1,
-        "another team's limit is not touched"
+        "the job of the other team starts"
     );
     let lease_s = simulation.worker_lease_s();
     simulation.advance(lease_s);
     assert_eq!(
         simulation.workers_running("j-2/7").len(),
         1,
-        "once its lease has expired"
+        "the last task starts once the worker's lease has expired"
     );
 }
 
-/// Its record is of an earlier version and names no team: it may be any team's.
+/// The record of a cancelled job was written by an earlier version and names no team. Its running
+/// tasks may belong to any team, so they must count against the limit of each team.
 #[test]
 fn cancelled_job_without_footprint_counts_as_the_worst_case() {
     let mut simulation = Simulation::started(2, 3);
@@ -158,13 +173,19 @@
     assert_eq!(simulation.workers_running("j-2/7").len(), 1);
 }
 
+/// A job is cancelled during a failover while its machines are isolated. Its tasks must count
+/// against the team's limit until they have ended, and no longer.
 #[test]
 fn team_limit_holds_in_a_failover_with_a_cancellation() {
     let mut simulation = Simulation::started(2, 4);
     simulation.submit(&desc("j-1", 4));
     simulation.submit(&desc("j-2", 4));
     simulation.advance(3.0);
-    assert_eq!(simulation.running_count(), 8, "16 cores are the limit");
+    assert_eq!(
+        simulation.running_count(),
+        8,
+        "8 tasks of 2 cores use the limit of 16 cores"
+    );
     simulation.cloud.is_unreachable = true;
     for worker in simulation.workers_running("j-1/0") {
         simulation.workers[worker].is_isolated = true;
@@ -176,5 +197,8 @@
     simulation.advance(50.0);
     simulation.set_workers_isolated(false);
     simulation.advance(12.0);
-    assert!(simulation.has_started("j-3"), "the limit is free again");
+    assert!(
+        simulation.has_started("j-3"),
+        "the cancelled tasks no longer count against the limit"
+    );
 }
--- a/src/controller/tests/scale.rs
+++ b/src/controller/tests/scale.rs
@@ -1,27 +1,32 @@
-//! Scale: what grows with the fleet and the backlog, and what must not.
+//! Scale: the costs of a large fleet and a large backlog stay within their bounds.
+//!
+//! The costs are the store's mutations, the size of its values, and comparisons of machines with
+//! classes of tasks.
 
 use super::simulation::{Simulation, TaskAttempt, secs};
 use crate::jobs::tests::desc;
 use crate::jobs::{JobState, Priority, tasks_per_page};
 use serde_json::Value;
 
-/// The interval in microseconds at which an owner runs its scheduler.
+/// Interval at which an owner runs its scheduler, in microseconds.
 const SCHEDULING_INTERVAL_US: u64 = 500_000;
 
-/// Thousands of machines of 16 cores under one owner, with the quotas that they need.
-fn thousands(controllers: usize, machines: usize) -> Simulation {
+/// Builds a cluster whose quotas are large enough for thousands of machines of 16 cores under one
+/// owner.
+fn cluster_for_thousands(controllers: usize, machines: usize) -> Simulation {
     Simulation::builder(controllers, machines)
         .whole_core()
         .team_quotas(15_000.0, 40_000.0)
         .build()
 }
 
-/// A machine in the store's records.
+/// A machine in the stored machine records.
 struct RecordedMachine {
     is_used: bool,
 }
 
-fn recorded(simulation: &Simulation) -> Vec<RecordedMachine> {
+/// Returns the machines in the stored shards of all partitions.
+fn recorded_machines(simulation: &Simulation) -> Vec<RecordedMachine> {
     simulation
         .store
         .machine_shards()
@@ -32,22 +37,27 @@
         .collect()
 }
 
-/// The simulated store panics at any transaction or value beyond the settings' limits.
+/// The records of a large fleet must fit the store's limits: the simulated store panics at a
+/// transaction or value that exceeds them. A leader that crashes while it records machines must
+/// lose none of them.
 #[test]
 fn two_thousand_machines_fit_the_store_limits_and_a_leader_crash_loses_none() {
-    let mut simulation = thousands(5, 2_100);
-    // The leader crashes while the machines are being recorded, a few shards at a time.
-    while recorded(&simulation).is_empty() {
+    let mut simulation = cluster_for_thousands(5, 2_100);
+    // The leader records the machines a few shards at a time, and crashes after the first write.
+    while recorded_machines(&simulation).is_empty() {
         simulation.advance(0.1);
     }
-    assert!(recorded(&simulation).len() < 2_100, "more than one write");
+    assert!(
+        recorded_machines(&simulation).len() < 2_100,
+        "one write does not record all machines"
+    );
     let leader = simulation.leader().expect("a leader");
     simulation.crash_controller(leader);
     simulation.advance(25.0);
-    let all = recorded(&simulation);
-    assert_eq!(all.len(), 2_100, "each once");
+    let all = recorded_machines(&simulation);
+    assert_eq!(all.len(), 2_100, "each machine is recorded once");
     assert!(all.iter().all(|machine| machine.is_used));
-    // A job of more tasks than a page of progress holds, all at once.
+    // The job has more tasks than a progress page covers, and all of them start at the same time.
     simulation.submit(&desc("j-1", 16_000));
     simulation.advance(20.0);
     assert_eq!(simulation.running_count(), 16_000);
@@ -59,9 +69,9 @@
     assert!(spent < 200, "{spent} mutations for the end of one job");
 }
 
-/// Guards against heartbeats with dozens of ended tasks: while tasks of more pages than one
-/// write takes went on ending, none of them was reaped, until the heartbeats were too long to
-/// be read in time and 495 healthy machines were released.
+/// Guards against heartbeats with dozens of ended tasks. Tasks kept ending on more progress pages
+/// than one write includes, and none of the tasks was reaped. The heartbeats became too long to be
+/// read in time, and 495 healthy machines were released.
 #[test]
 fn ended_tasks_are_reaped_page_by_page_while_others_end() {
     let mut simulation = Simulation::new(1, 1);
@@ -75,24 +85,27 @@
     assert_eq!(simulation.running_count(), (pages * page) as usize);
     let rounds = 20;
     for round in 0..rounds {
-        // In every page, so that some are unwritten after each transaction.
+        // One task ends on every page, so some pages are still unwritten after each transaction.
         for page_number in 0..pages {
             simulation.finish(&format!("j-1/{}", page_number * page + round));
         }
         simulation.advance(1.0);
     }
     let has_exited = |task: &&TaskAttempt| !task.is_running();
-    let left = simulation.workers[0]
+    let unreaped = simulation.workers[0]
         .tasks
         .values()
         .filter(has_exited)
         .count();
     let all = (rounds * pages) as usize;
-    assert!(left <= all / 3, "{left} of {all} are still reported");
+    assert!(
+        unreaped <= all / 3,
+        "{unreaped} of {all} ended tasks are still reported"
+    );
 }
 
-/// Guards against jobs of one task that waited for minutes to be recorded as done: each took a
-/// mutation to be shown as running and one more to delete that.
+/// Guards against jobs of one task whose end was recorded only minutes later. Each job took one
+/// mutation to be recorded as running and another one to delete that record.
 #[test]
 fn many_small_jobs_cost_few_mutations_beyond_their_ends() {
     let mut simulation = Simulation::builder(1, 4)
@@ -103,9 +116,9 @@
     let earlier = simulation.store.mutation_count;
     let jobs = 100;
     for number in 0..jobs {
-        let mut probe = desc(&format!("j-{number}"), 1);
-        (probe.cores, probe.memory_gb) = (0.1, 0.1);
-        simulation.submit(&probe);
+        let mut small = desc(&format!("j-{number}"), 1);
+        (small.cores, small.memory_gb) = (0.1, 0.1);
+        simulation.submit(&small);
         simulation.advance(0.2);
     }
     simulation.advance(10.0);
@@ -115,14 +128,18 @@
             Some(JobState::Done)
         );
     }
-    // One to be accepted, two to end.
+    // A job takes one mutation to be accepted and two to end.
     let spent = simulation.store.mutation_count - earlier;
     let expected = 3 * jobs;
-    assert!(spent <= expected + expected / 2, "{spent} for {jobs} jobs");
+    assert!(
+        spent <= expected + expected / 2,
+        "{spent} mutations for {jobs} jobs"
+    );
 }
 
-/// Guards against an owner that spent most of its processor time on it: a job of the lowest
-/// priority and without a guarantee can preempt nothing, and so needs no walk over the machines.
+/// Guards against an owner that spent most of its processor time on comparisons without effect: a
+/// job of the lowest priority whose team has no guarantee can preempt nothing. Such a job must not
+/// be compared with all machines.
 #[test]
 fn job_that_may_preempt_nothing_is_compared_with_fewer_machines() {
     let comparisons = |priority: Priority| {
@@ -145,9 +162,14 @@
         comparisons(Priority::Idle),
         comparisons(Priority::Production),
     );
-    assert!(idle < production, "{idle} and {production}");
+    assert!(
+        idle < production,
+        "comparisons: idle {idle}, production {production}"
+    );
 }
 
+/// Jobs of one class wait while all capacity is used. The number of comparisons in a scheduler run
+/// must depend on the number of machines, not on the number of waiting jobs.
 #[test]
 fn machine_comparisons_dont_grow_with_a_backlog_that_fits_nowhere() {
     let comparisons_per_run = |machines: usize, backlog: u32| {
@@ -156,7 +178,7 @@
             .started();
         simulation.submit(&desc("j-1", 8 * machines as u32));
         simulation.advance(4.0);
-        // All capacity is used, and jobs of one class wait for it.
+        // All capacity is used, so these jobs of one class wait.
         for number in 0..backlog {
             simulation.submit(&desc(&format!("j-{}", 100 + number), 4));
         }
@@ -166,24 +188,33 @@
         let runs = secs(4.0).0 / SCHEDULING_INTERVAL_US;
         (simulation.machines_compared() - before) / runs as usize
     };
-    // A class is compared with the largest free capacity of each machine type, and what does
-    // not fit there is not compared with machines; the first job searches one to reserve.
+    // A class is compared with the largest free capacity of each machine type. A class that does
+    // not fit there is not compared with single machines. Only the first job is, to reserve a
+    // machine.
     assert!(comparisons_per_run(40, 10) <= 45);
-    assert!(comparisons_per_run(40, 100) <= 45, "not with the backlog");
+    assert!(
+        comparisons_per_run(40, 100) <= 45,
+        "comparisons must not grow with the backlog"
+    );
 }
 
-/// No fixed bound is below this size: each machine is adopted, used, and released.
+/// Guards against a fixed bound that is below 4,000 machines: each machine is adopted, used and
+/// released.
 #[test]
 fn four_thousand_machines_are_adopted_used_and_released() {
     let machines = 4_000;
-    let mut simulation = thousands(2, machines);
+    let mut simulation = cluster_for_thousands(2, machines);
     simulation.idle_release_after = secs(20.0);
     simulation.start_all_controllers();
     simulation.advance(18.0);
-    let all = recorded(&simulation);
-    assert_eq!(all.len(), machines, "each once");
-    assert!(all.iter().all(|machine| machine.is_used), "each is adopted");
-    // One task fills a machine, and no team may have all of them.
+    let all = recorded_machines(&simulation);
+    assert_eq!(all.len(), machines, "each machine is recorded once");
+    assert!(
+        all.iter().all(|machine| machine.is_used),
+        "each machine is adopted"
+    );
+    // One task fills a machine. Two teams share the machines, because the quota limit of one team
+    // is lower.
     for (id, team) in [("j-1", "red"), ("j-2", "blue")] {
         let mut job = desc(id, machines as u32 / 2);
         (job.cores, job.team) = (16.0, team.into());
@@ -195,14 +226,15 @@
     simulation.advance(6.0);
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
     assert_eq!(simulation.ended_state("j-2"), Some(JobState::Done));
-    // The minimum charge is a minute.
+    // Machines are kept for the minimum charge of one minute.
     simulation.advance(50.0);
     assert_eq!(simulation.cloud.released.len(), machines);
-    assert_eq!(recorded(&simulation).len(), 0);
+    assert_eq!(recorded_machines(&simulation).len(), 0);
 }
 
-/// Hundreds of machines under one owner, adopted.
-fn hundreds(controllers: usize, machines: usize) -> Simulation {
+/// Builds a cluster for hundreds of machines under one owner and advances it until they are
+/// adopted.
+fn cluster_for_hundreds(controllers: usize, machines: usize) -> Simulation {
     let mut simulation = Simulation::builder(controllers, machines)
         .whole_core()
         .team_quotas(1_000.0, 6_000.0)
@@ -211,13 +243,15 @@
     simulation
 }
 
+/// The owner crashes while a hundred machines are isolated. Their leases are valid, so the next
+/// owner must neither start their tasks elsewhere nor release the machines after the reconnection.
 #[test]
 fn a_hundred_machines_isolated_during_a_failover_keep_their_tasks() {
-    let mut simulation = hundreds(3, 300);
+    let mut simulation = cluster_for_hundreds(3, 300);
     simulation.submit(&desc("j-1", 1_200));
     simulation.advance(6.0);
     assert_eq!(simulation.running_count(), 1_200);
-    // The cloud can release none, and their leases are valid: each task must stay.
+    // The cloud can release no machine, and the worker leases are valid: each task must stay.
     simulation.cloud.is_unreachable = true;
     for worker in simulation.workers.iter_mut().take(100) {
         worker.is_isolated = true;
@@ -234,19 +268,21 @@
     assert_eq!(
         simulation.running_count(),
         1_300,
-        "and the new job runs beside them"
+        "the earlier tasks and the new job's tasks run"
     );
     simulation.cloud.is_unreachable = false;
     simulation.advance(8.0);
     assert!(
         simulation.cloud.released.is_empty(),
-        "no machine is released for a past silence"
+        "no machine is released for heartbeats that were missing before"
     );
 }
 
+/// All controllers restart during an outage of the store, twice. The controllers' leases from
+/// before a restart must not delay the next owner: new jobs must start within seconds.
 #[test]
-fn after_two_restarts_of_all_in_outages_jobs_start_within_seconds() {
-    let mut simulation = hundreds(5, 100);
+fn after_two_restarts_of_all_controllers_in_outages_jobs_start_within_seconds() {
+    let mut simulation = cluster_for_hundreds(5, 100);
     simulation.submit(&desc("j-1", 100));
     simulation.advance(4.0);
     for round in 0..2 {
@@ -256,7 +292,8 @@
         simulation.store.is_down = false;
         simulation.advance(0.5);
         simulation.start_all_controllers();
-        // A lease whose time to live an outage renewed is revoked by the next incarnation.
+        // The next incarnation of a controller revokes the lease of the previous one, whose time to
+        // live the outage has renewed.
         simulation.advance(3.0);
         simulation.submit(&desc(&format!("j-{}", 10 + round), 50));
         simulation.advance(4.0);
--- a/src/controller/tests/starvation.rs
+++ b/src/controller/tests/starvation.rs
@@ -1,22 +1,24 @@
-//! Starvation: whoever waits for long starts, also under overload.
+//! Starvation: a job that has waited for a long time starts, also under overload.
 
 use super::simulation::{Simulation, secs};
 use crate::jobs::Priority;
 use crate::jobs::tests::desc;
 use std::collections::BTreeSet;
 
+/// A job that needs its team's whole limit could wait for ever while small jobs of the same team
+/// keep starting below the limit. Once it counts as starving, they must not overtake it.
 #[test]
 fn starving_job_is_not_overtaken_by_its_team_below_the_limit() {
     let mut simulation = Simulation::started(1, 3);
     simulation.task_duration = Some(secs(10.0));
-    // It needs its team's whole limit, on one machine of three.
-    let mut whole = desc("j-90001", 1);
-    whole.cores = 16.0;
-    simulation.submit(&whole);
+    // The job needs its team's whole limit on one of the three machines.
+    let mut whole_machine = desc("j-90001", 1);
+    whole_machine.cores = 16.0;
+    simulation.submit(&whole_machine);
     for number in 0..170 {
         let mut stream = desc(&format!("j-{number}"), 1);
         stream.priority = Priority::Production;
-        // It has no slack, so it leaves no machine to the other.
+        // Without a deadline the small job has no slack, so it yields no machine to the large job.
         stream.deadline_s = None;
         simulation.submit(&stream);
         simulation.advance(1.0);
@@ -24,27 +26,36 @@
     assert!(simulation.has_started("j-90001"));
 }
 
+/// Twice as many tasks arrive as the machine can run, for almost four minutes, most of them with a
+/// higher priority than the first five jobs. Each of these five jobs must start nevertheless.
 #[test]
 fn under_lasting_overload_every_job_starts_within_four_minutes() {
     let mut simulation = Simulation::started(1, 1);
     simulation.task_duration = Some(secs(10.0));
-    // A whole machine, the lowest priority, a missed deadline, and a large job array.
-    let mut whole = desc("j-90001", 1);
-    whole.cores = 16.0;
-    let mut low = desc("j-90002", 2);
-    low.priority = Priority::Idle;
-    low.class = "other".into();
-    let mut lost = desc("j-90003", 2);
-    lost.deadline_s = Some(1.0);
-    let large = desc("j-90004", 100);
-    let mut blue = desc("j-90005", 2);
-    blue.team = "blue".into();
-    for job in [&whole, &low, &lost, &large, &blue] {
+    // A job that needs a whole machine, a job of the lowest priority, a job that misses its
+    // deadline, a large job array, and a job of another team.
+    let mut whole_machine = desc("j-90001", 1);
+    whole_machine.cores = 16.0;
+    let mut low_priority = desc("j-90002", 2);
+    low_priority.priority = Priority::Idle;
+    low_priority.class = "other".into();
+    let mut overdue = desc("j-90003", 2);
+    overdue.deadline_s = Some(1.0);
+    let large_array = desc("j-90004", 100);
+    let mut other_team = desc("j-90005", 2);
+    other_team.team = "blue".into();
+    for job in [
+        &whole_machine,
+        &low_priority,
+        &overdue,
+        &large_array,
+        &other_team,
+    ] {
         simulation.submit(job);
     }
     let mut started = BTreeSet::new();
     for number in 0..230 {
-        // Twice the machine's capacity, of a higher priority than most.
+        // The stream needs twice the machine's capacity and has a higher priority than most jobs.
         let mut stream = desc(&format!("j-{number}"), 2);
         stream.priority = Priority::Production;
         stream.team = if number % 2 == 0 { "red" } else { "blue" }.into();
@@ -57,12 +68,15 @@
             }
         }
     }
-    assert_eq!(started.len(), 5, "{started:?}");
+    assert_eq!(started.len(), 5, "only these jobs started: {started:?}");
     let live = simulation
         .store
         .keys
         .keys()
         .filter(|key| key.starts_with("r/jobs/"))
         .count();
-    assert!(live > 50, "it was an overload: {live} wait");
+    assert!(
+        live > 50,
+        "only {live} jobs are waiting, so there was no overload"
+    );
 }
--- a/src/controller/tests/store_outages.rs
+++ b/src/controller/tests/store_outages.rs
@@ -1,5 +1,5 @@
-//! Outages of the store and watches that fell behind: health, status queries, and what keeps
-//! running.
+//! Outages of the store, and watches whose position the store has compacted: the health of
+//! controllers, answers to status queries, and running tasks.
 
 use super::simulation::{LookupAnswer, Simulation};
 use crate::api::ports::HeartbeatAnswer;
@@ -7,6 +7,8 @@
 use crate::jobs::JobState;
 use crate::jobs::tests::desc;
 
+/// In an outage of the store all controllers are affected alike. Reporting them as unhealthy would
+/// leave users without any controller.
 #[test]
 fn outage_makes_no_controller_unhealthy() {
     let mut simulation = Simulation::started(3, 1);
@@ -20,7 +22,8 @@
     );
 }
 
-fn answer(controller: usize, request_id: u64, lookup: JobLookup) -> LookupAnswer {
+/// Returns the answer to a status query, for comparison.
+fn lookup_answer(controller: usize, request_id: u64, lookup: JobLookup) -> LookupAnswer {
     LookupAnswer {
         controller,
         request_id,
@@ -28,6 +31,9 @@
     }
 }
 
+/// A controller that was cut from the store has an outdated watch cache. It must answer
+/// `Unavailable` until it has read the store again, and then answer correctly for every job within
+/// seconds.
 #[test]
 fn after_outages_every_controller_answers_for_every_job_within_seconds() {
     let mut simulation = Simulation::started(3, 2);
@@ -42,16 +48,16 @@
     }
     simulation.advance(20.0);
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
-    // Its watch cache is outdated: it must not answer from it, and says so at once.
+    // The controller's watch cache is outdated, so it must answer `Unavailable` immediately.
     simulation.query_job(cut_off, "j-1", 1);
     assert_eq!(
         simulation.users.lookups.pop(),
-        Some(answer(cut_off, 1, JobLookup::Unavailable))
+        Some(lookup_answer(cut_off, 1, JobLookup::Unavailable))
     );
     simulation.store.is_down = true;
     simulation.advance(30.0);
     simulation.store.is_down = false;
-    // The log was compacted: it must list everything again.
+    // The store has compacted its log, so the controller must list the whole store again.
     simulation.controllers[cut_off].faults.is_cut_from_store = false;
     simulation.controllers[cut_off].lose_watch();
     simulation.advance(2.0);
@@ -72,7 +78,7 @@
             } else {
                 is_live
             },
-            "{answer:?}"
+            "unexpected answer: {answer:?}"
         );
     }
     simulation.users.lookups.clear();
@@ -80,12 +86,13 @@
     simulation.advance(0.5);
     assert_eq!(
         simulation.users.lookups.pop(),
-        Some(answer(cut_off, 99, JobLookup::NotFound))
+        Some(lookup_answer(cut_off, 99, JobLookup::NotFound))
     );
 }
 
-/// Delays the launches of four jobs, so that the workers' tokens are far above the term's first.
-fn fence_several_times(simulation: &mut Simulation) {
+/// Delays the launches of four jobs. The owner raises the workers' fencing tokens each time, so
+/// they are then far above the first token of the term.
+fn raise_fencing_tokens(simulation: &mut Simulation) {
     for number in 2..6 {
         simulation.network.holds_commands = true;
         simulation.submit(&desc(&format!("j-{number}"), 1));
@@ -95,19 +102,21 @@
     }
 }
 
+/// Returns the highest fencing token that each worker has accepted.
 fn fencing_tokens(simulation: &Simulation) -> Vec<u64> {
     let workers = simulation.workers.iter();
     workers.map(|worker| worker.fencing_token.0).collect()
 }
 
-/// The watch fell behind the store's log: the same owner lists the whole store again under the
-/// same term.
+/// The store has compacted the log entries that the owner's watch needs next, so the owner lists
+/// the whole store again and keeps its term. It must keep the running tasks, must not lower a
+/// fencing token, and must not accept late heartbeats.
 #[test]
 fn listing_the_store_again_keeps_running_tasks() {
     let mut simulation = Simulation::started(1, 2);
     simulation.submit(&desc("j-1", 4));
     simulation.advance(3.0);
-    fence_several_times(&mut simulation);
+    raise_fencing_tokens(&mut simulation);
     let copies = [
         simulation.workers[0].heartbeat(),
         simulation.workers[1].heartbeat(),
@@ -115,7 +124,8 @@
     simulation.finish_all();
     simulation.advance(4.0);
     let earlier = fencing_tokens(&simulation);
-    // Cut from the store: jobs submitted and cancelled meanwhile come with the list.
+    // While the owner is cut from the store, a job is submitted and another one is cancelled. The
+    // owner learns of both from the list.
     simulation.submit(&desc("j-7", 1));
     simulation.advance(2.0);
     simulation.controllers[0].faults.is_cut_from_store = true;
@@ -129,14 +139,14 @@
         assert_eq!(
             simulation.deliver_late_heartbeat(0, copy),
             Some(HeartbeatAnswer::Unavailable),
-            "older than the last heartbeat"
+            "the copy is older than the last heartbeat"
         );
     }
     simulation.advance(5.0);
     assert_eq!(
         simulation.workers_running("j-8/0").len(),
         1,
-        "workers accept the token, and the attempt is new"
+        "workers accept the owner's token and the new attempt"
     );
     assert!(simulation.workers_running("j-7/0").is_empty());
     assert_eq!(simulation.running_count(), 2);
@@ -154,11 +164,12 @@
             .workers
             .iter()
             .all(|worker| worker.agent_epoch == 1),
-        "answered all along"
+        "no worker lease expired, so heartbeats were answered throughout"
     );
 }
 
-/// Guards against 2,244 connections that found no healthy controller in an outage of 70 s.
+/// Guards against controllers that all became unhealthy in an outage of 70 s: 2,244 connections
+/// found no healthy controller.
 #[test]
 fn in_a_long_outage_connected_controllers_stay_healthy() {
     let mut simulation = Simulation::started(3, 2);
@@ -176,14 +187,14 @@
         assert_eq!(
             healthy(&simulation),
             vec![true; 3],
-            "removing one would help no user"
+            "all controllers stay healthy, since removing one would help no user"
         );
     }
-    // A controller that is also cut from its peers must assume that it is isolated itself.
+    // A controller that is cut from its peers, too, must assume that it is itself isolated.
     simulation.controllers[0].faults.is_cut_from_peers = true;
     simulation.advance(5.0);
     assert_eq!(healthy(&simulation), vec![false, true, true]);
-    // Once the store is up for the others, the one that it rejects is unhealthy.
+    // The store is up again, but rejects one controller. Only that controller is unhealthy.
     simulation.controllers[0].faults.is_cut_from_peers = false;
     simulation.controllers[0].faults.is_rejected_by_store = true;
     simulation.store.is_down = false;
--- a/src/controller/tests/zone_failover/detection.rs
+++ b/src/controller/tests/zone_failover/detection.rs
@@ -120,7 +120,7 @@
 /// A controller that is isolated itself receives no heartbeats from other zones. It must not
 /// conclude that those zones are lost.
 #[test]
-fn isolated_observer_gives_no_evidence() {
+fn isolated_controller_gives_no_evidence_of_lost_zones() {
     let mut simulation = three_zones(4, FAILOVER_ENABLED);
     let owner = simulation.owner();
     // The owner reaches only the machines of zone x, and neither the store nor its peers.
