--- a/src/controller/tests/mod.rs
+++ b/src/controller/tests/mod.rs
@@ -1,5 +1,9 @@
-//! Whole clusters in small: the controllers' cores in a deterministic simulation, and with real
-//! sockets on loopback. Each test names the failure that it guards against.
+//! Cluster tests of the controllers.
+//!
+//! Most tests run the controllers' cores in a deterministic simulation ([`simulation`]). One test
+//! runs whole controllers with real sockets on loopback ([`loopback`]). The tests are grouped into
+//! modules by behaviour. In addition, [`fault_pairs`] combines random faults, and
+//! [`characterization`] detects any change of behaviour.
 
 mod autoscaling;
 mod cancellation;
