--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -1,26 +1,30 @@
-//! The checks of the settings, section by section, in the order of the file.
+//! Checks of the settings that the types of the fields do not cover, one function for each
+//! section of the file.
 
 use super::{InvalidSetting, Platform, Settings, Team};
 
-/// Below this, renewals over a busy store can't keep a lease up; in seconds.
+/// Shortest lease of a controller, in seconds. A shorter lease could expire while its renewal
+/// waits for a busy store.
 pub(super) const MIN_LEASE_S: f64 = 2.0;
-/// A compare-and-swap of fewer mutations can't record what belongs together.
+/// Smallest allowed maximum of mutations in a compare-and-swap. With fewer mutations, changes
+/// that must be atomic could not be written.
 pub(super) const MIN_TXN_OPS: usize = 4;
-/// Values below this hold no job's description with its record.
+/// Smallest allowed maximum size of a value, in bytes. A smaller value can't hold a job's record
+/// together with the job's description.
 const MIN_VALUE_BYTES: usize = 1024;
-/// What each team's name takes in a partition's owner record besides the name.
+/// Bytes for each team in a partition's owner record, in addition to the team's name.
 const TEAM_BYTES: usize = 3;
-/// What a partition's owner record takes besides the names of teams.
+/// Bytes of a partition's owner record without the names of teams.
 const OWNER_RECORD_BYTES: usize = 256;
-/// The largest deployment, in controllers.
+/// Largest number of controllers in a deployment.
 const MAX_CONTROLLERS: usize = 1000;
 
 impl Settings {
-    /// Checks what the types of the fields don't.
+    /// Checks the settings for what the types of the fields do not cover.
     ///
     /// # Errors
-    /// The first setting that is invalid, contradicts another, or leaves too little to work
-    /// with.
+    /// Returns the first setting that is invalid, contradicts another setting, or is too small
+    /// to operate with.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         self.check_controllers()?;
         self.platform.check_teams()?;
@@ -51,8 +55,9 @@
         Ok(())
     }
 
-    /// A cancelled task on an isolated machine ends only after both the owner's and the
-    /// worker's lease have expired.
+    /// Checks that the cancellation timeout is long enough for a controller's lease. A cancelled
+    /// task on an isolated machine ends only after both the owner's and the worker's lease have
+    /// expired.
     fn check_lease(&self) -> Result<(), InvalidSetting> {
         let workers = &self.platform.workers;
         if self.lease_s() < MIN_LEASE_S {
@@ -119,8 +124,8 @@
         self.check_next_value_size()
     }
 
-    /// Whether the coming values hold every record. Checked before the start: what can't be
-    /// written then would be found out when it is too late.
+    /// Checks that values of the upcoming size can hold every record. Without this check, a
+    /// running controller would fail to write a record once the limits change.
     fn check_next_value_size(&self) -> Result<(), InvalidSetting> {
         let bytes = self.state.lowest_value_bytes();
         let name_bytes = self.teams.iter().map(|team| team.name.len() + TEAM_BYTES);
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,142 +1,151 @@
-//! Why a settings file is refused.
+//! Errors in the settings file. The texts name the field, what was expected and what was found.
 
 use super::checks::{MIN_LEASE_S, MIN_TXN_OPS};
 use super::sockets::MIN_SERVED;
 use crate::ids::Label;
 use std::net::SocketAddrV4;
 
-/// Why a settings file is refused.
+/// Reason why a settings file is refused.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("can't read settings file {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The system's error.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// It is not JSON, or a field is missing or of the wrong type.
+    /// The file is not JSON, or a field is missing or has the wrong type.
     #[error("settings file {path} is malformed: {source}")]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong, and where.
+        /// Error of the JSON parser, with line and column.
         source: serde_json::Error,
     },
-    /// A setting is invalid, contradicts another, or leaves too little to work with.
+    /// A setting is invalid, contradicts another setting, or is too small to operate with.
     #[error("settings file {path}: {source}")]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong.
+        /// The invalid setting.
         source: InvalidSetting,
     },
 }
 
-/// A setting that is invalid, contradicts another, or leaves too little to work with. The
-/// text names the field and what it has to be; the variants carry the value.
+/// A setting that is invalid, contradicts another setting, or is too small to operate with.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum InvalidSetting {
-    /// The label can't be part of a key.
-    #[error("label is empty, or has a space or a slash")]
+    /// The label can't be part of a key of the store.
+    #[error("label must not be empty or contain a space or a slash, got \"{value}\"")]
     Label {
-        /// The label.
+        /// Label in the file.
         value: Label,
     },
-    /// Two listeners share an address.
-    #[error("bind and mesh_addr are the same")]
+    /// Two listeners have the same address.
+    #[error("bind and mesh_addr must differ, got {value} for both")]
     SameAddress {
-        /// The address.
+        /// Address of both listeners.
         value: SocketAddrV4,
     },
     /// A seed has the label of this controller.
-    #[error("seeds name this controller itself, {label}")]
+    #[error("seeds must list only other controllers, got this controller's label {label}")]
     SeedIsSelf {
-        /// The label.
+        /// Label of this controller.
         label: Label,
     },
     /// The number of controllers is out of range.
-    #[error("initial_size must be from 1 to {max}")]
+    #[error("initial_size must be from 1 to {max}, got {value}")]
     InitialSize {
-        /// The number.
+        /// Number of controllers in the file.
         value: usize,
-        /// The largest that is allowed.
+        /// Largest allowed number of controllers.
         max: usize,
     },
     /// There is no team.
-    #[error("teams is empty")]
+    #[error("teams must list at least one team, got none")]
     NoTeams,
     /// A quota or limit is negative or not finite.
-    #[error("team {team}: amounts must be finite and not negative")]
+    #[error(
+        "team {team}: cpus, cpus_max, gpus and gpus_max must be finite and not negative, got \
+         {value}"
+    )]
     TeamAmount {
-        /// The team's name.
+        /// Name of the team.
         team: String,
-        /// The amount.
+        /// First invalid amount.
         value: f64,
     },
     /// The guaranteed quota exceeds the limit.
-    #[error("team {team}: more is guaranteed than its limit allows")]
+    #[error(
+        "team {team}: the guaranteed quota (cpus, gpus) must not exceed the limit (cpus_max, \
+         gpus_max)"
+    )]
     GuaranteeExceedsLimit {
-        /// The team's name.
+        /// Name of the team.
         team: String,
     },
     /// Two teams have the same name.
-    #[error("team {team} is listed twice")]
+    #[error("teams must have unique names, got {team} twice")]
     DuplicateTeam {
-        /// The team's name.
+        /// Name of both teams.
         team: String,
     },
-    /// A rate, time, size or share is not above 0.
-    #[error("{field} must be above 0")]
+    /// A rate, time, size or share is not finite or not above 0.
+    #[error("{field} must be a finite number above 0, got {value}")]
     NotPositive {
-        /// The field.
+        /// Path of the field below `settings`.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: f64,
     },
-    /// A compare-and-swap could not record what belongs together.
-    #[error("{field} must be at least {MIN_TXN_OPS}")]
+    /// A compare-and-swap allows too few mutations for changes that must be atomic.
+    #[error("{field} must be at least {MIN_TXN_OPS}, got {value}")]
     TooFewMutations {
-        /// The field.
+        /// Path of the field below `settings`.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: usize,
     },
-    /// The coming size of a value can't hold the records that are needed.
-    #[error("state.next.value_kb leaves {bytes} bytes for a value, and {needed_bytes} are needed")]
+    /// The upcoming size of a value can't hold the largest required record.
+    #[error("state.next.value_kb must allow values of {needed_bytes} bytes, got {bytes} bytes")]
     NextValueTooSmall {
-        /// What a value may hold.
+        /// Largest size of a value, in bytes.
         bytes: usize,
-        /// What the largest of these records takes.
+        /// Size of the largest required record, in bytes.
         needed_bytes: usize,
     },
-    /// Too few sockets are left for users and workers.
+    /// Too few sockets remain for users and workers.
     #[error(
-        "limits.sockets is {value}, too few to serve users and workers beside {reserved} for the \
-         state service, the cloud, peers and direct commands"
+        "limits.sockets is {value}, but users and workers need at least {MIN_SERVED} in addition \
+         to {reserved} for the state service, the cloud, peers, direct commands and the process \
+         itself"
     )]
     TooFewSockets {
-        /// The limit.
+        /// Value of `limits.sockets`.
         value: usize,
-        /// What the other shares take.
+        /// Sockets reserved for all other uses.
         reserved: usize,
     },
-    /// Memory holds too few connections.
+    /// The memory limit allows too few connections.
     #[error(
-        "limits.ram_mb leaves room for {connections} connections; at least {MIN_SERVED} are needed"
+        "limits.ram_mb must allow at least {MIN_SERVED} connections of users and workers, but \
+         allows {connections}"
     )]
     TooLittleMemory {
-        /// How many it holds.
+        /// Number of connections that the memory limit allows.
         connections: usize,
     },
-    /// The cancellation timeout leaves no time for a lease beyond the workers'.
+    /// The cancellation timeout exceeds the workers' lease by too little for a controller's
+    /// lease.
     #[error(
-        "workers.cancel_s leaves {room_s} s beyond workers.lease_s, which is no room for a lease \
-         of {MIN_LEASE_S} s"
+        "workers.cancel_s exceeds workers.lease_s by {room_s} s, too little for a controller \
+         lease of at least {MIN_LEASE_S} s and its safety margin"
     )]
     NoRoomForLease {
-        /// What it leaves, in seconds.
+        /// Difference between the two settings, in seconds; negative if the workers' lease is
+        /// the longer one.
         room_s: f64,
     },
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,7 +1,8 @@
-//! The platform's settings file: read, checked, and refused with one line.
+//! The platform's settings file. An invalid file is refused with a message of one line.
 //!
-//! Owns the file's format and what follows from it for the whole run, such as the lengths of
-//! leases and the shares of sockets. Settings never change while a controller runs.
+//! Owns the file's format and the values that are derived from it, such as the lengths of
+//! leases and the number of sockets for each use. Settings never change while a controller
+//! runs.
 
 mod checks;
 mod error;
@@ -23,56 +24,57 @@
 use std::net::SocketAddrV4;
 use std::path::Path;
 
-/// A compare-and-swap takes at most one in so many of the mutations allowed per second.
+/// Divisor of the store's mutations per second that gives the most mutations of one
+/// compare-and-swap.
 const TXN_RATE_DIVISOR: f64 = 4.0;
-/// The kind of an objective for the time until a task starts.
+/// Value of [`ServiceLevelObjective::kind`] for the time until a task starts.
 const START_LATENCY: &str = "wait";
 
-/// Another controller.
+/// Another controller of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Seed {
-    /// The controller's label.
+    /// Label of the other controller.
     pub label: Label,
-    /// The zone that it is in.
+    /// Zone that the other controller runs in; `None` if the file does not name it.
     #[serde(default, rename = "area")]
     pub zone: Option<ZoneId>,
-    /// Where it listens for its peers.
+    /// Address on which the other controller listens for its peers.
     pub addr: SocketAddrV4,
 }
 
 /// Addresses of the platform's services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
-    /// The cloud's interface.
+    /// Address of the cloud's API.
     pub cloud: SocketAddrV4,
-    /// The key-value store.
+    /// Address of the key-value store.
     pub state: SocketAddrV4,
 }
 
 /// The platform's settings file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// This controller's label.
+    /// Label of this controller.
     pub label: Label,
-    /// Where it listens for users, workers and health checks.
+    /// Address on which this controller listens for users, workers and health checks.
     pub bind: SocketAddrV4,
-    /// Where it listens for the other controllers.
+    /// Address on which this controller listens for the other controllers.
     pub mesh_addr: SocketAddrV4,
     /// The other controllers.
     #[serde(default)]
     pub seeds: Vec<Seed>,
-    /// The platform's services.
+    /// Addresses of the platform's services.
     pub endpoints: Endpoints,
-    /// The deployment: its teams, its objectives and its limits.
+    /// Description of the deployment: its teams, objectives and limits.
     #[serde(rename = "settings")]
     pub platform: Platform,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and checks a settings file.
     ///
     /// # Errors
-    /// The file can't be read, is malformed, or has an invalid setting.
+    /// Fails if the file can't be read, is malformed, or has an invalid setting.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
@@ -90,20 +92,22 @@
         Ok(settings)
     }
 
-    /// The controllers of the deployment, this one included.
+    /// Returns the labels of all controllers of the deployment, including this one.
     pub fn controllers(&self) -> impl Iterator<Item = &Label> {
         std::iter::once(&self.label).chain(self.seeds.iter().map(|seed| &seed.label))
     }
 
-    /// How many mutations a compare-and-swap of ours has at most: one that takes much of a
-    /// second's mutations is rejected again and again while others write.
+    /// Returns the maximum number of mutations in a compare-and-swap of this controller. A
+    /// compare-and-swap that needs a large part of the mutations allowed per second would be
+    /// rejected repeatedly while other controllers write.
     pub fn max_mutations(&self) -> usize {
         let state = &self.platform.state;
         let by_rate = (state.lowest_write_rps() / TXN_RATE_DIVISOR) as usize;
         state.lowest_txn_ops().min(by_rate.max(MIN_TXN_OPS))
     }
 
-    /// Within what time tasks of a class should start, if an objective says so.
+    /// Returns the time within which tasks of a class should start: the shortest of the
+    /// class's objectives, or `None` if it has none.
     pub fn start_latency_objective(&self, class: &str) -> Option<Micros> {
         let applies = |objective: &&ServiceLevelObjective| {
             objective.kind == START_LATENCY && objective.class.as_deref() == Some(class)
@@ -115,7 +119,8 @@
         Some(Micros::from_secs(within_s))
     }
 
-    /// The classes of jobs that objectives name.
+    /// Returns the classes of jobs that the objectives name. A class with several objectives
+    /// is listed several times.
     pub fn classes_with_objectives(&self) -> Vec<String> {
         let objectives = self.platform.objectives.iter();
         objectives
@@ -123,7 +128,7 @@
             .collect()
     }
 
-    /// A team's index by its name.
+    /// Returns the index of a team by its name, or `None` if there is no such team.
     pub fn team(&self, name: &str) -> Option<usize> {
         self.platform
             .teams
@@ -131,7 +136,7 @@
             .position(|team| team.name == name)
     }
 
-    /// All guaranteed quotas together.
+    /// Returns the sum of the guaranteed quotas of all teams.
     pub fn guarantees(&self) -> Resources {
         let mut total = Resources::default();
         for team in &self.platform.teams {
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,174 +1,183 @@
-//! The part of the settings file that describes the deployment. Fields keep their names in
-//! the file by `serde(rename)`.
+//! The part of the settings file that describes the deployment: teams, objectives, and the
+//! limits of the services and of this process.
+//!
+//! Names in the file never change. A field with another name in Rust has a `serde(rename)`.
 
 use crate::fairness::Resources;
 use serde::Deserialize;
 
 const BYTES_PER_KIB: f64 = 1024.0;
 
-/// A team, its guaranteed quota and its limit.
+/// A team with its guaranteed quota and its limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// The team's name.
+    /// Name of the team.
     pub name: String,
-    /// Guaranteed cores.
+    /// Guaranteed number of cores.
     #[serde(default)]
     pub cpus: f64,
-    /// The limit on its cores; 0: none.
+    /// Limit on the cores that the team uses; 0 means no limit.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed accelerators.
+    /// Guaranteed number of accelerators.
     #[serde(default)]
     pub gpus: f64,
-    /// The limit on its accelerators; 0: none.
+    /// Limit on the accelerators that the team uses; 0 means no limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
 impl Team {
-    /// Its guaranteed quota. Memory is not guaranteed.
+    /// Returns the team's guaranteed quota. Memory is not guaranteed.
     pub fn guarantee(&self) -> Resources {
         Resources::new(self.cpus, self.gpus, 0.0)
     }
 
-    /// The limit on what its tasks use; memory is not limited. 0 is none: taken as a limit,
-    /// a guest team without a guaranteed quota was refused all that it submitted.
+    /// Returns the limit on the resources that the team's tasks use together. Memory is not
+    /// limited. A limit of 0 means no limit: read as an actual limit, it made the scheduler
+    /// refuse every job of a guest team without a guaranteed quota.
     pub fn limit(&self) -> Resources {
         let limit = |max: f64| if max > 0.0 { max } else { f64::INFINITY };
         Resources::new(limit(self.cpus_max), limit(self.gpus_max), f64::INFINITY)
     }
 }
 
-/// The workers' intervals and timeouts, in seconds.
+/// Intervals and timeouts of the workers, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerTimes {
-    /// Between two heartbeats.
+    /// Time between two heartbeats of a worker.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// So long after its last answered heartbeat, a worker ends all its attempts.
+    /// Time after its last answered heartbeat at which a worker ends all its attempts.
     pub lease_s: f64,
-    /// Within this all tasks of a cancelled job must have ended.
+    /// Time within which all tasks of a cancelled job must have ended.
     #[serde(rename = "cancel_s")]
     pub cancellation_timeout_s: f64,
 }
 
-/// The limits of the key-value store.
+/// Limits of the key-value store.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
-    /// Requests per second, of all controllers.
+    /// Requests per second of all controllers together.
     pub rps: f64,
-    /// Mutations per second, of all controllers.
+    /// Mutations per second of all controllers together.
     pub write_rps: f64,
-    /// The size of a value, in KiB.
+    /// Largest size of a value, in KiB.
     pub value_kb: f64,
-    /// Mutations in one compare-and-swap.
+    /// Largest number of mutations in one compare-and-swap.
     pub txn_ops: usize,
-    /// The limits that will hold from some moment on, without notice.
+    /// Upcoming limits. The store applies them at an unknown time and without notice; `None`
+    /// means that no change is planned.
     #[serde(default)]
     pub next: Option<NextStateLimits>,
 }
 
-/// The coming limits of the key-value store; what is not given stays as it is.
+/// Upcoming limits of the key-value store. A limit that is `None` does not change.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextStateLimits {
-    /// Requests per second, of all controllers.
+    /// Requests per second of all controllers together.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Mutations per second, of all controllers.
+    /// Mutations per second of all controllers together.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// The size of a value, in KiB.
+    /// Largest size of a value, in KiB.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Mutations in one compare-and-swap.
+    /// Largest number of mutations in one compare-and-swap.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
 impl StateLimits {
-    /// The coming limit, or the current one if it stays.
+    /// Returns the upcoming limit, or the current one if it does not change.
     fn next_or<T: Copy>(&self, limit: impl Fn(&NextStateLimits) -> Option<T>, current: T) -> T {
         self.next.as_ref().and_then(limit).unwrap_or(current)
     }
 
-    /// Requests per second that are allowed before and after the limits change.
+    /// Returns the requests per second that are allowed both before and after the limits
+    /// change.
     pub fn lowest_rps(&self) -> f64 {
         self.next_or(|next| next.rps, self.rps).min(self.rps)
     }
 
-    /// Mutations per second that are allowed before and after the limits change.
+    /// Returns the mutations per second that are allowed both before and after the limits
+    /// change.
     pub fn lowest_write_rps(&self) -> f64 {
         let next = self.next_or(|next| next.write_rps, self.write_rps);
         next.min(self.write_rps)
     }
 
-    /// Mutations in a compare-and-swap that are allowed before and after the limits change.
+    /// Returns the number of mutations in a compare-and-swap that is allowed both before and
+    /// after the limits change.
     pub fn lowest_txn_ops(&self) -> usize {
         self.next_or(|next| next.txn_ops, self.txn_ops)
             .min(self.txn_ops)
     }
 
-    /// What a value may hold before and after the limits change, in bytes.
+    /// Returns the size of a value, in bytes, that is allowed both before and after the limits
+    /// change.
     pub fn lowest_value_bytes(&self) -> usize {
         let next = self.next_or(|next| next.value_kb, self.value_kb);
         (next.min(self.value_kb) * BYTES_PER_KIB) as usize
     }
 }
 
-/// The limits of the cloud's interface.
+/// Limits of the cloud's API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second.
+    /// Requests per second of all controllers together.
     pub rps: f64,
-    /// How far the list of machines lags, in seconds.
+    /// Delay, in seconds, after which a change of a machine appears in the cloud's list of
+    /// machines.
     pub list_lag_s: f64,
 }
 
-/// What this process may use.
+/// Limits on the resources of this process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Limits {
-    /// Sockets.
+    /// Largest number of open sockets.
     pub sockets: usize,
-    /// Memory, in MB.
+    /// Memory, in MB; `None` means no limit.
     #[serde(default)]
     pub ram_mb: Option<f64>,
-    /// The share of one core.
+    /// Share of one core; `None` means a whole core.
     #[serde(default)]
     pub cpu_share: Option<f64>,
 }
 
-/// A service-level objective of a class; kinds that are not known here are ignored.
+/// Service-level objective of a class of jobs. Objectives of an unknown kind are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ServiceLevelObjective {
-    /// What is measured, e.g. `wait`: the time until a task starts.
+    /// Measured quantity, for example `wait` for the time until a task starts.
     pub kind: String,
-    /// The class of jobs that it applies to.
+    /// Class of jobs that the objective applies to; `None` if the file does not name one.
     #[serde(default)]
     pub class: Option<String>,
-    /// The time within which it should happen, in seconds.
+    /// Target time, in seconds; `None` if the objective has no target time.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
 
-/// The deployment: its teams, its objectives and its limits.
+/// Description of the deployment: its teams, objectives and limits.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Platform {
-    /// How many controllers there are.
+    /// Number of controllers.
     pub initial_size: usize,
-    /// The zones that machines may be in.
+    /// Names of the zones that machines may be in.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// The teams, each known by its index here.
+    /// Teams. Other modules identify a team by its index in this list.
     pub teams: Vec<Team>,
-    /// The service-level objectives.
+    /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<ServiceLevelObjective>,
-    /// The workers' intervals and timeouts.
+    /// Intervals and timeouts of the workers.
     pub workers: WorkerTimes,
-    /// The limits of the key-value store.
+    /// Limits of the key-value store.
     pub state: StateLimits,
-    /// The limits of the cloud's interface.
+    /// Limits of the cloud's API.
     pub cloud: CloudLimits,
-    /// What this process may use.
+    /// Limits on the resources of this process.
     pub limits: Limits,
 }
--- a/src/settings/sockets.rs
+++ b/src/settings/sockets.rs
@@ -1,62 +1,69 @@
-//! How a controller's sockets are shared out, so that no use of them starves another.
+//! Division of a controller's sockets among their uses.
+//!
+//! Invariant: the sockets of all uses together stay within `limits.sockets`, so no use can
+//! exhaust the sockets of another.
 
 use super::{InvalidSetting, Settings};
 
-/// Sockets to the key-value store: with those to the cloud they come before all else.
+/// Sockets for the key-value store. Like the sockets for the cloud, they are reserved before
+/// those of users and workers.
 pub const STORE_SOCKETS: usize = 48;
-/// Sockets to the cloud's interface.
+/// Sockets for the cloud's API.
 pub const CLOUD_SOCKETS: usize = 8;
-/// Listeners, logs and what the runtime itself holds.
+/// Sockets and file descriptors for the listeners, the logs and the runtime.
 const OWN_SOCKETS: usize = 16;
-/// Connections from each peer: one that connects anew may leave its earlier ones behind a
-/// cut network.
+/// Connections from each peer. When a network partition separates a peer and it reconnects,
+/// its earlier connections may still be open here.
 const SOCKETS_PER_PEER: usize = 4;
-/// Small deployments may grow to so many peers.
+/// Minimum number of peers that sockets are reserved for, because a small deployment may grow.
 const MIN_PEERS: usize = 4;
-/// One in so many sockets is for direct commands to workers.
+/// Divisor of `limits.sockets` that gives the sockets for direct commands to workers.
 const DIRECT_COMMAND_DIVISOR: usize = 8;
-/// What a served connection takes of the memory, in KiB, its buffers and its task included
-/// (measured: some 20 KiB).
+/// Memory reserved for a served connection, in KiB. Its buffers and its task take about 20 KiB.
 const CONNECTION_KIB: f64 = 26.0;
 const KIB_PER_MB: f64 = 1024.0;
-/// The fraction of the memory that served connections may take together.
+/// Fraction of the process's memory that all served connections together may take.
 const CONNECTION_MEMORY_FRACTION: f64 = 0.55;
-/// New connections that a whole core can take up and answer in half a second, with
-/// all its other work beside (measured by the share that heartbeats take).
+/// New connections that one whole core can accept and answer within 0.5 s in addition to the
+/// controller's other work.
 const UNANSWERED_PER_CORE: f64 = 4_000.0;
+/// Lower bound of [`SocketShares::max_unanswered`].
 const MIN_UNANSWERED: usize = 32;
-/// Fewer can't serve users and workers side by side.
+/// Minimum number of connections for users and workers. With fewer, users and workers can't be
+/// served at the same time.
 pub(super) const MIN_SERVED: usize = 64;
 
-/// How many sockets each use may take, from `limits.sockets` and `limits.ram_mb`.
+/// Number of sockets for each use, derived from `limits.sockets` and `limits.ram_mb`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SocketShares {
-    /// Connections from peers.
+    /// Maximum number of connections from peers.
     pub peers: usize,
-    /// Kept connections to workers, for direct commands.
+    /// Maximum number of kept-alive connections to workers, for direct commands.
     pub direct_commands: usize,
-    /// Connections of users and workers; those beyond are closed at once.
+    /// Maximum number of connections from users and workers. Further connections are closed
+    /// at once.
     pub max_served: usize,
-    /// From so many served on, a worker's connection is closed with its answer: the rest is
-    /// for users, and for workers that come all at once after a failover.
+    /// Number of served connections above which a worker's connection is closed with its next
+    /// answer. The remaining connections are reserved for users, and for workers that all
+    /// connect at once after a failover.
     pub worker_close_threshold: usize,
-    /// New connections that may wait for their first answer at once.
+    /// Maximum number of new connections that wait for their first answer at the same time.
     pub max_unanswered: usize,
 }
 
 impl Settings {
-    /// Shares out the sockets.
+    /// Divides the sockets among their uses.
     ///
     /// # Errors
-    /// `limits.sockets` or `limits.ram_mb` is too low to serve users and workers.
+    /// Fails if `limits.sockets` or `limits.ram_mb` is too low to serve users and workers.
     pub fn socket_shares(&self) -> Result<SocketShares, InvalidSetting> {
         let (limits, controllers) = (&self.platform.limits, self.platform.initial_size);
         let peers = SOCKETS_PER_PEER * controllers.max(MIN_PEERS);
         let direct_commands = limits.sockets / DIRECT_COMMAND_DIVISOR;
         let outgoing = STORE_SOCKETS + CLOUD_SOCKETS + OWN_SOCKETS + self.seeds.len();
         let reserved = outgoing + peers + direct_commands;
-        let left = limits.sockets.saturating_sub(reserved);
-        if left < MIN_SERVED {
+        let remaining = limits.sockets.saturating_sub(reserved);
+        if remaining < MIN_SERVED {
             return Err(InvalidSetting::TooFewSockets {
                 value: limits.sockets,
                 reserved,
@@ -68,7 +75,7 @@
         if connections < MIN_SERVED {
             return Err(InvalidSetting::TooLittleMemory { connections });
         }
-        let max_served = left.min(connections);
+        let max_served = remaining.min(connections);
         let unanswered = limits.cpu_share.unwrap_or(1.0) * UNANSWERED_PER_CORE;
         Ok(SocketShares {
             peers,
--- a/src/settings/sockets/tests.rs
+++ b/src/settings/sockets/tests.rs
@@ -1,3 +1,6 @@
+//! Guards against socket shares that exceed the limits of the process, and against limits too
+//! low to serve users and workers being accepted.
+
 use super::super::tests::settings;
 use super::*;
 
