--- a/src/policy/lang/checker.rs
+++ b/src/policy/lang/checker.rs
@@ -1,4 +1,5 @@
-//! Checking an expression before anything runs: its type, and the range of its value.
+//! Checker: determines the type of an expression and the range of its value without evaluating
+//! it.
 
 use super::{
     ArithmeticOperator, BinaryOperator, Call, Conditional, Expr, Node, PolicyError,
@@ -6,7 +7,7 @@
 };
 use rockdeal_types::suggestion::nearest;
 
-/// The range of a number.
+/// Range of a number, both ends included.
 #[derive(Clone, Copy)]
 struct NumberRange {
     min: f64,
@@ -20,10 +21,11 @@
 }
 
 impl Expr {
-    /// The type of the expression, and for a number the range.
+    /// Returns the type of the expression, which for a number includes its range.
     ///
     /// # Errors
-    /// Unknown names, operands of the wrong type, and divisions that might be by zero.
+    /// Returns the first unknown name, operand of the wrong type, call of `clamp` whose bounds
+    /// may be reversed, or division whose divisor may be 0.
     pub fn check(&self, scope: &Scope) -> Result<ValueType, PolicyError> {
         match &self.node {
             Node::Literal(Value::Number(number)) => Ok(ValueType::constant(*number)),
@@ -107,8 +109,8 @@
         }
     }
 
-    /// Each operator is monotonic in both operands, so that the range lies between the values
-    /// at its ends.
+    /// Returns the range of an arithmetic operation. Each operator is monotonic in each operand,
+    /// so the lowest and the highest value occur at the ends of the operands' ranges.
     fn check_arithmetic(
         &self,
         operator: ArithmeticOperator,
@@ -150,13 +152,15 @@
                 min: min.min(other_min),
                 max: max.max(other_max),
             }),
-            (one, other) if one == other => Ok(one),
-            (one, other) => self.error(PolicyErrorKind::BranchTypes(one, other)),
+            (when_true, when_false) if when_true == when_false => Ok(when_true),
+            (when_true, when_false) => {
+                self.error(PolicyErrorKind::BranchTypes(when_true, when_false))
+            }
         }
     }
 
-    /// Each function grows with each of its arguments, so that the ends of the range are its
-    /// values at the ends of their ranges.
+    /// Returns the range of a function call. Each function is non-decreasing in each argument, so
+    /// the ends of its range are its values at the ends of the arguments' ranges.
     fn check_call(&self, call: &Call, scope: &Scope) -> Result<ValueType, PolicyError> {
         let range = match call {
             Call::Min([left, right]) => {
--- a/src/policy/lang/error.rs
+++ b/src/policy/lang/error.rs
@@ -1,22 +1,23 @@
-//! What can be wrong with a policy, where it is, and what may help.
+//! Errors in the text of a policy, with their position and a hint on how to correct them.
 
 use super::ValueType;
 use std::fmt;
 
-/// Where in a file, counted from 1.
+/// Position in a text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SourcePosition {
-    /// The line, from 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// The column, from 1.
+    /// Column in characters, counted from 1.
     pub column: usize,
 }
 
 impl SourcePosition {
-    /// The start of a file.
+    /// Start of a text.
     pub const START: SourcePosition = SourcePosition { line: 1, column: 1 };
 
-    /// The position of a byte of a text; beyond its end: the end.
+    /// Returns the position of the byte at `offset`. An offset beyond the end of the text, or
+    /// inside a character, gives the position of the end.
     pub fn of_byte(text: &str, offset: usize) -> SourcePosition {
         let before = text.get(..offset).unwrap_or(text);
         let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
@@ -33,12 +34,12 @@
     }
 }
 
-/// What is wrong with a policy, and where.
+/// Error in a policy, with its position.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub struct PolicyError {
-    /// Where.
+    /// Position of the error.
     pub at: SourcePosition,
-    /// What is wrong.
+    /// Kind of the error.
     pub kind: PolicyErrorKind,
 }
 
@@ -52,163 +53,172 @@
     }
 }
 
-/// What is wrong with a policy.
+/// Kind of an error in a policy.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum PolicyErrorKind {
-    /// Digits and points that are no number.
-    #[error("{0} is no number")]
+    /// A sequence of digits and decimal points that is not a number.
+    #[error("invalid number {0}: expected digits with at most one decimal point")]
     InvalidNumber(String),
-    /// A text without its closing quotes.
-    #[error("a text has no end")]
+    /// A text without its closing quote.
+    #[error("text without a closing quote")]
     UnterminatedText,
-    /// A character that begins no token.
-    #[error("{0:?} means nothing here")]
+    /// A character that can't begin a token.
+    #[error("unexpected character {0:?}")]
     UnknownCharacter(char),
-    /// The file is too large.
-    #[error("the file is over 64 KiB")]
+    /// A text longer than the parser accepts.
+    #[error("the text must not be larger than 64 KiB")]
     FileTooLarge,
-    /// An assignment without its name.
-    #[error("a setting's name is missing")]
+    /// An assignment that does not begin with a name.
+    #[error("expected the name of a setting")]
     ExpectedName,
-    /// Two assignments of one name.
-    #[error("{0} is set twice")]
+    /// A second assignment to the same name.
+    #[error("setting {0} is assigned twice")]
     DuplicateName(String),
-    /// A sign or keyword that has to stand here.
-    #[error("{0} is missing here")]
+    /// A missing symbol or keyword.
+    #[error("expected `{0}`")]
     ExpectedToken(&'static str),
-    /// An expression inside too many others.
-    #[error("this is nested too deep")]
+    /// An expression nested in too many other expressions.
+    #[error(
+        "expression is nested too deeply: use fewer parentheses, conditionals, function calls or \
+         prefix operators"
+    )]
     NestedTooDeep,
-    /// Too many operators in one file.
-    #[error("the settings are too long")]
+    /// Too many binary operators in one text.
+    #[error("the text has more than 300 binary operators, such as + or `and`")]
     TooManyOperators,
-    /// An operand that has to stand here.
-    #[error("a value is missing here")]
+    /// A missing operand.
+    #[error("expected a value, such as a number, a text in quotes, a name or a function call")]
     ExpectedValue,
-    /// A function called with another number of arguments than it takes.
-    #[error("{needed} arguments are needed, not {given}")]
+    /// A function call with the wrong number of arguments.
+    #[error("wrong number of arguments: expected {needed}, got {given}")]
     ArgumentCount {
-        /// How many it takes.
+        /// Number of arguments that the function takes.
         needed: usize,
-        /// How many there are.
+        /// Number of arguments in the call.
         given: usize,
     },
-    /// An operand has to be a number.
-    #[error("a number is needed, not {}", .0.name())]
+    /// An operand of another type where a number is required.
+    #[error("expected a number, got {}", .0.name())]
     NumberNeeded(ValueType),
-    /// An operand has to be true or false.
-    #[error("true or false is needed, not {}", .0.name())]
+    /// An operand of another type where a boolean is required.
+    #[error("expected a boolean (true or false), got {}", .0.name())]
     BooleanNeeded(ValueType),
-    /// A name that may not be used here.
-    #[error("{name} is unknown here")]
+    /// A name that the expression may not use.
+    #[error("unknown name {name} in this expression")]
     UnknownName {
-        /// The name.
+        /// Name in the expression.
         name: String,
-        /// The known name most like it, or all known names.
+        /// Hint with the most similar known name, or with all known names.
         suggestion: String,
     },
-    /// Two types that are never equal.
-    #[error("{} is compared with {}", .0.name(), .1.name())]
+    /// A comparison for equality of two different types.
+    #[error("values of different types are compared: {} and {}", .0.name(), .1.name())]
     ComparedTypes(ValueType, ValueType),
-    /// The divisor may be 0.
-    #[error("this may divide by zero")]
+    /// A division whose divisor may be 0.
+    #[error("this may divide by zero: the range of the divisor includes 0")]
     DivisionByZero,
-    /// The branches of a conditional have different types.
-    #[error("one way gives {}, the other {}", .0.name(), .1.name())]
+    /// A conditional whose branches have different types.
+    #[error(
+        "both branches of a conditional must have the same type, got {} after `then` and {} after \
+         `else`", .0.name(), .1.name()
+    )]
     BranchTypes(ValueType, ValueType),
-    /// The bounds of a clamp may be reversed.
-    #[error("the least may be above the most")]
+    /// A clamp whose lower bound may exceed its upper bound.
+    #[error("the lower bound of clamp may exceed its upper bound")]
     ReversedClamp,
-    /// A name that is no setting.
-    #[error("{name} is no setting")]
+    /// An assignment to a name that is not a setting.
+    #[error("unknown setting {name}")]
     UnknownSetting {
-        /// The name.
+        /// Assigned name.
         name: String,
-        /// The setting most like it, or all settings.
+        /// Hint with the most similar setting, or with all settings.
         suggestion: String,
     },
-    /// A setting without an assignment, also by default.
-    #[error("{0} is not set")]
+    /// A setting that neither the file nor the built-in policy assigns.
+    #[error("setting {0} is assigned neither in the file nor in the built-in policy")]
     NotSet(&'static str),
-    /// A setting whose expression has no value.
-    #[error("{0} has no value")]
+    /// A setting whose expression can't be evaluated to a number.
+    #[error("the expression of setting {0} can't be evaluated to a number")]
     NoValue(&'static str),
     /// A setting whose value is out of range.
-    #[error("{name} is {value}, outside {min} to {max}")]
+    #[error("setting {name} must be from {min} to {max}, got {value}")]
     ValueOutOfRange {
-        /// The setting.
+        /// Name of the setting.
         name: &'static str,
-        /// Its value.
+        /// Value of the expression.
         value: f64,
-        /// The lowest that is allowed.
+        /// Lowest allowed value.
         min: f64,
-        /// The highest that is allowed.
+        /// Highest allowed value.
         max: f64,
     },
     /// A setting whose value may be out of range.
-    #[error("{name} may be from {lowest} to {highest}, outside {min} to {max}")]
+    #[error(
+        "setting {name} must be from {min} to {max}, but the expression can give values from \
+         {lowest} to {highest}"
+    )]
     RangeExceeded {
-        /// The setting.
+        /// Name of the setting.
         name: &'static str,
-        /// The lowest that it may be.
+        /// Lowest possible value of the expression.
         lowest: f64,
-        /// The highest that it may be.
+        /// Highest possible value of the expression.
         highest: f64,
-        /// The lowest that is allowed.
+        /// Lowest allowed value.
         min: f64,
-        /// The highest that is allowed.
+        /// Highest allowed value.
         max: f64,
     },
-    /// A setting that has to be true or false.
-    #[error("{0} must be true or false")]
+    /// A setting of another type that must be a boolean.
+    #[error("setting {0} must be a boolean (true or false)")]
     SettingNotBoolean(&'static str),
-    /// A setting that has to be a number.
-    #[error("{0} must be a number")]
+    /// A setting of another type that must be a number.
+    #[error("setting {0} must be a number")]
     SettingNotNumber(&'static str),
-    /// A text that has to be one expression is empty.
-    #[error("there is no expression")]
+    /// An empty text where an expression is required.
+    #[error("expected an expression, got an empty text")]
     NoExpression,
-    /// A text that has to be one expression has more.
-    #[error("only one expression is allowed here")]
+    /// More than one expression where exactly one is required.
+    #[error("expected a single expression, got several statements separated by `;`")]
     SeveralExpressions,
-    /// An expression that has to be bounded.
-    #[error("it may grow without bound")]
+    /// A number whose range has no finite bounds.
+    #[error("the value of the expression must have finite bounds, but its range is infinite")]
     Unbounded,
-    /// An expression that has to be a number.
-    #[error("it must be a number, and is {}", .given.name())]
+    /// An expression of another type that must be a number.
+    #[error("the expression must be a number, got {}", .given.name())]
     ExpressionNotNumber {
-        /// Its type.
+        /// Type of the expression.
         given: ValueType,
-        /// An expression that is one.
+        /// Example of an expression that is a number.
         example: &'static str,
     },
 }
 
 impl PolicyErrorKind {
-    /// The error at a position.
+    /// Returns the error with a position.
     pub fn at(self, at: SourcePosition) -> PolicyError {
         PolicyError { at, kind: self }
     }
 
-    /// What may help.
+    /// Returns a hint on how to correct the error, or `None` if the message suffices.
     fn hint(&self) -> Option<String> {
         let hint = match self {
-            Self::UnterminatedText => "close it with \" on its line",
-            Self::ExpectedName => "NAME = EXPRESSION;",
-            Self::BooleanNeeded(_) => "compare it with something",
+            Self::UnterminatedText => "add a \" on the same line",
+            Self::ExpectedName => "write NAME = EXPRESSION;",
+            Self::BooleanNeeded(_) => "for example, compare the value with another one",
             Self::UnknownName { suggestion, .. } | Self::UnknownSetting { suggestion, .. } => {
                 suggestion
             }
-            Self::DivisionByZero => "divide by max(..., 1)",
-            Self::ReversedClamp => "clamp(X, LEAST, MOST)",
+            Self::DivisionByZero => "for example, divide by max(..., 1)",
+            Self::ReversedClamp => "write clamp(VALUE, LOWER, UPPER)",
             Self::ValueOutOfRange { min, max, .. } | Self::RangeExceeded { min, max, .. } => {
-                return Some(format!("clamp(..., {min}, {max})"));
+                return Some(format!("for example, use clamp(..., {min}, {max})"));
             }
-            Self::NoExpression => "write one, or leave it out",
-            Self::SeveralExpressions => "leave out the ;",
-            Self::Unbounded => "use clamp(...)",
+            Self::NoExpression => "write an expression, or leave out the setting",
+            Self::SeveralExpressions => "remove the ;",
+            Self::Unbounded => "for example, use clamp(VALUE, LOWER, UPPER)",
             Self::ExpressionNotNumber { example, .. } => {
-                return Some(format!("as in {example}"));
+                return Some(format!("for example, {example}"));
             }
             _ => return None,
         };
--- a/src/policy/lang/evaluator.rs
+++ b/src/policy/lang/evaluator.rs
@@ -1,16 +1,17 @@
-//! The value of a checked expression.
+//! Evaluator: computes the value of a checked expression.
 
 use super::{
     BinaryOperator, Call, EqualityOperator, Expr, LogicalOperator, Node, OrderingOperator, Value,
     clamp,
 };
 
-/// Gives the value of a name.
-pub type Values<'a> = dyn Fn(&str) -> Option<Value> + 'a;
+/// Function that returns the value of a name, or `None` if the name has no value.
+pub type ValueLookup<'a> = dyn Fn(&str) -> Option<Value> + 'a;
 
 impl Expr {
-    /// Its value. A checked expression has one if all names of its scope have.
-    pub fn eval(&self, values: &Values<'_>) -> Option<Value> {
+    /// Returns the value of the expression, or `None` if a name has no value or an operand has the
+    /// wrong type. A checked expression has a value if all names of its scope have one.
+    pub fn eval(&self, values: &ValueLookup<'_>) -> Option<Value> {
         Some(match &self.node {
             Node::Literal(value) => value.clone(),
             Node::Name(name) => values(name)?,
@@ -28,14 +29,14 @@
         })
     }
 
-    fn eval_number(&self, values: &Values<'_>) -> Option<f64> {
+    fn eval_number(&self, values: &ValueLookup<'_>) -> Option<f64> {
         match self.eval(values)? {
             Value::Number(number) => Some(number),
             _ => None,
         }
     }
 
-    fn eval_boolean(&self, values: &Values<'_>) -> Option<bool> {
+    fn eval_boolean(&self, values: &ValueLookup<'_>) -> Option<bool> {
         match self.eval(values)? {
             Value::Boolean(boolean) => Some(boolean),
             _ => None,
@@ -47,14 +48,14 @@
     operator: BinaryOperator,
     left: &Expr,
     right: &Expr,
-    values: &Values<'_>,
+    values: &ValueLookup<'_>,
 ) -> Option<Value> {
     let boolean = match operator {
         BinaryOperator::Arithmetic(operator) => {
             let (left, right) = (left.eval_number(values)?, right.eval_number(values)?);
             return Some(Value::Number(operator.apply(left, right)));
         }
-        // The right operand is evaluated only where it decides.
+        // The right operand is evaluated only if the left one does not determine the result.
         BinaryOperator::Logical(LogicalOperator::Or) => {
             left.eval_boolean(values)? || right.eval_boolean(values)?
         }
@@ -79,7 +80,7 @@
 }
 
 impl Call {
-    fn eval(&self, values: &Values<'_>) -> Option<f64> {
+    fn eval(&self, values: &ValueLookup<'_>) -> Option<f64> {
         Some(match self {
             Call::Min([left, right]) => left.eval_number(values)?.min(right.eval_number(values)?),
             Call::Max([left, right]) => left.eval_number(values)?.max(right.eval_number(values)?),
--- a/src/policy/lang/lexer.rs
+++ b/src/policy/lang/lexer.rs
@@ -1,4 +1,5 @@
-//! From a text to tokens.
+//! Lexer: splits the text of a policy into tokens. White space and comments separate tokens
+//! and are dropped.
 
 use super::{PolicyError, PolicyErrorKind, SourcePosition};
 
@@ -6,28 +7,29 @@
 pub(super) enum Token {
     Number(f64),
     Text(String),
-    /// A name or a keyword.
+    /// A name or a keyword; the parser distinguishes them.
     Identifier(String),
-    Sign(&'static str),
+    Symbol(&'static str),
     End,
 }
 
-/// A token, and where it stands.
+/// Token with its position in the text.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct PlacedToken {
+pub(super) struct PositionedToken {
     pub(super) token: Token,
     pub(super) at: SourcePosition,
 }
 
-/// Longer signs stand before those that they begin with.
-const SIGNS: [&str; 16] = [
+/// Operators and punctuation. A longer symbol precedes the symbols that are its prefix, because
+/// the first match is used.
+const SYMBOLS: [&str; 16] = [
     "<=", ">=", "==", "!=", "<", ">", "=", "+", "-", "*", "/", "(", ")", ",", ";", "!",
 ];
 const COMMENT: char = '#';
 const QUOTE: char = '"';
 
-/// All tokens of a text; the last one is its end.
-pub(super) fn tokens(text: &str) -> Result<Vec<PlacedToken>, PolicyError> {
+/// Returns all tokens of a text. The last token is always [`Token::End`].
+pub(super) fn tokenize(text: &str) -> Result<Vec<PositionedToken>, PolicyError> {
     let mut tokens = Vec::new();
     for (index, line) in text.lines().enumerate() {
         let mut rest = line.trim_start();
@@ -36,31 +38,34 @@
                 line: index + 1,
                 column: 1 + line[..line.len() - rest.len()].chars().count(),
             };
-            let (token, length) = token(first, rest).map_err(|kind| kind.at(at))?;
-            tokens.push(PlacedToken { token, at });
+            let (token, length) = first_token(first, rest).map_err(|kind| kind.at(at))?;
+            tokens.push(PositionedToken { token, at });
             rest = rest[length..].trim_start();
         }
     }
     let line = text.lines().count().max(1);
-    tokens.push(PlacedToken {
+    tokens.push(PositionedToken {
         token: Token::End,
         at: SourcePosition { line, column: 1 },
     });
     Ok(tokens)
 }
 
-/// The token at the start of a text, and its length in bytes.
-fn token(first: char, rest: &str) -> Result<(Token, usize), PolicyErrorKind> {
+/// Returns the token at the start of `rest`, and its length in bytes. `first` is the first
+/// character of `rest`.
+fn first_token(first: char, rest: &str) -> Result<(Token, usize), PolicyErrorKind> {
     if first.is_ascii_digit() {
-        let digits = leading(rest, |letter| letter.is_ascii_digit() || letter == '.');
+        let digits = longest_prefix(rest, |character| {
+            character.is_ascii_digit() || character == '.'
+        });
         return match digits.parse() {
             Ok(number) => Ok((Token::Number(number), digits.len())),
             Err(_) => Err(PolicyErrorKind::InvalidNumber(digits.to_owned())),
         };
     }
     if first.is_ascii_alphabetic() || first == '_' {
-        let name = leading(rest, |letter| {
-            letter.is_ascii_alphanumeric() || letter == '_'
+        let name = longest_prefix(rest, |character| {
+            character.is_ascii_alphanumeric() || character == '_'
         });
         return Ok((Token::Identifier(name.to_owned()), name.len()));
     }
@@ -74,14 +79,16 @@
             length + quotes,
         ));
     }
-    match SIGNS.iter().find(|sign| rest.starts_with(**sign)) {
-        Some(sign) => Ok((Token::Sign(sign), sign.len())),
+    match SYMBOLS.iter().find(|symbol| rest.starts_with(**symbol)) {
+        Some(symbol) => Ok((Token::Symbol(symbol), symbol.len())),
         None => Err(PolicyErrorKind::UnknownCharacter(first)),
     }
 }
 
-/// The longest start of a text whose characters all belong.
-fn leading(text: &str, belongs: fn(char) -> bool) -> &str {
-    let end = text.find(|letter| !belongs(letter)).unwrap_or(text.len());
+/// Returns the longest prefix of a text whose characters are all included.
+fn longest_prefix(text: &str, is_included: fn(char) -> bool) -> &str {
+    let end = text
+        .find(|character| !is_included(character))
+        .unwrap_or(text.len());
     &text[..end]
 }
--- a/src/policy/lang/mod.rs
+++ b/src/policy/lang/mod.rs
@@ -1,10 +1,12 @@
-//! The language of operators' policies: expressions over named values, typed, total
-//! and without loops. What a checked expression gives is known to lie in its range
-//! before anything runs.
+//! The expression language of policy files. Expressions use named values; they are typed,
+//! total and free of loops.
 //!
-//! The lexer makes tokens of a text, the parser assignments of tokens; the checker finds the
-//! type and the range of an expression, the evaluator its value. The language knows nothing
-//! of jobs or of settings: the names that may be used come from its callers.
+//! The lexer splits a text into tokens, and the parser builds assignments from the tokens. The
+//! checker determines the type of an expression and the range of its value, and the evaluator
+//! computes the value. Callers supply the names that an expression may use, so the language is
+//! independent of jobs and settings.
+//!
+//! Invariant: the value of a checked expression lies in the range that the checker reported.
 
 mod checker;
 mod error;
@@ -15,35 +17,36 @@
 pub use error::{PolicyError, PolicyErrorKind, SourcePosition};
 pub use parser::parse;
 
-/// A value.
+/// Value of an expression.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Value {
     /// A number.
     Number(f64),
-    /// True or false.
+    /// A boolean.
     Boolean(bool),
-    /// Text.
+    /// A text.
     Text(String),
 }
 
-/// The type of an expression, with what is known of its value before anything runs.
+/// Type of an expression. For a number it includes the range of the value, which is known
+/// without evaluating the expression.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ValueType {
     /// A number.
     Number {
-        /// The lowest that it can be.
+        /// Lowest possible value.
         min: f64,
-        /// The highest that it can be.
+        /// Highest possible value.
         max: f64,
     },
-    /// True or false.
+    /// A boolean.
     Boolean,
-    /// Text.
+    /// A text.
     Text,
 }
 
 impl ValueType {
-    /// A number that is known.
+    /// Returns the type of a number whose value is known.
     pub const fn constant(value: f64) -> ValueType {
         ValueType::Number {
             min: value,
@@ -51,31 +54,31 @@
         }
     }
 
-    /// As error messages call it.
+    /// Returns the name of the type in error messages.
     pub fn name(self) -> &'static str {
         match self {
             ValueType::Number { .. } => "a number",
-            ValueType::Boolean => "true or false",
+            ValueType::Boolean => "a boolean",
             ValueType::Text => "a text",
         }
     }
 }
 
-/// The names that an expression may use, and the type of each.
+/// Names that an expression may use, with the type of each.
 pub type Scope = [(&'static str, ValueType)];
 
-/// A name that is set to an expression.
+/// Statement that assigns an expression to a name.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Assignment {
-    /// The name.
+    /// Assigned name.
     pub name: String,
-    /// Where the name stands.
+    /// Position of the name in the text.
     pub at: SourcePosition,
-    /// What it is set to.
+    /// Expression that is assigned to the name.
     pub expression: Expr,
 }
 
-/// An expression, and where it stands.
+/// Expression with its position in the text.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Expr {
     at: SourcePosition,
@@ -104,11 +107,11 @@
 enum Call {
     Min([Expr; 2]),
     Max([Expr; 2]),
-    /// The value, the lower and the upper bound.
+    /// In this order: the value, the lower bound and the upper bound.
     Clamp([Expr; 3]),
 }
 
-/// By the types that they take and give.
+/// Binary operators, grouped by the types of their operands and of their result.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum BinaryOperator {
     Logical(LogicalOperator),
@@ -156,7 +159,7 @@
     }
 }
 
-/// A number between two bounds; the upper one wins if they are reversed.
+/// Limits a number to the range from `min` to `max`. Returns `max` if `min` exceeds it.
 fn clamp(value: f64, min: f64, max: f64) -> f64 {
     value.max(min).min(max)
 }
--- a/src/policy/lang/parser.rs
+++ b/src/policy/lang/parser.rs
@@ -1,19 +1,24 @@
-//! From tokens to assignments of expressions.
+//! Recursive-descent parser: builds assignments from the tokens of a policy. Limits on the size
+//! of the text and of its expressions bound the depth of the recursion here, in the checker and
+//! in the evaluator.
 
-use super::lexer::{PlacedToken, Token, tokens};
+use super::lexer::{PositionedToken, Token, tokenize};
 use super::{
     ArithmeticOperator, Assignment, BinaryOperator, Call, Conditional, EqualityOperator, Expr,
     LogicalOperator, Node, OrderingOperator, PolicyError, PolicyErrorKind, SourcePosition, Value,
 };
 
-/// The largest file.
+/// Maximum length of a text, in bytes. The text of [`PolicyErrorKind::FileTooLarge`] states it.
 const MAX_BYTES: usize = 64 * 1024;
-/// Guards against an expression so deep that reading it overflows the stack.
+/// Maximum depth of nested expressions and operands. A deeper expression could overflow the
+/// stack.
 const MAX_DEPTH: usize = 64;
-/// The same for a long row of sums or products.
+/// Maximum number of binary operators in one text. Each operator of a long sum or product adds a
+/// level to the expression tree, which could overflow the stack as well. The text of
+/// [`PolicyErrorKind::TooManyOperators`] states this number.
 const MAX_BINARY_OPERATORS: usize = 300;
 
-/// Binary operators by precedence, the loosest first.
+/// Binary operators by precedence, the lowest precedence first.
 const PRECEDENCE: [&[(&str, BinaryOperator)]; 5] = [
     &[("or", BinaryOperator::Logical(LogicalOperator::Or))],
     &[("and", BinaryOperator::Logical(LogicalOperator::And))],
@@ -47,13 +52,16 @@
     ],
 ];
 
-/// Reads a whole file, in which each name is set once.
+/// Parses a whole policy.
+///
+/// # Errors
+/// Returns the first syntax error, or an error for a name that is assigned twice.
 pub fn parse(text: &str) -> Result<Vec<Assignment>, PolicyError> {
     if text.len() > MAX_BYTES {
         return Err(PolicyErrorKind::FileTooLarge.at(SourcePosition::START));
     }
     let mut parser = Parser {
-        tokens: tokens(text)?,
+        tokens: tokenize(text)?,
         next: 0,
         depth: 0,
         binary_operators: 0,
@@ -66,7 +74,7 @@
 }
 
 struct Parser {
-    tokens: Vec<PlacedToken>,
+    tokens: Vec<PositionedToken>,
     next: usize,
     depth: usize,
     binary_operators: usize,
@@ -85,7 +93,7 @@
 
     fn is_next(&self, expected: &str) -> bool {
         match &self.tokens[self.next].token {
-            Token::Sign(sign) => *sign == expected,
+            Token::Symbol(symbol) => *symbol == expected,
             Token::Identifier(name) => name == expected,
             _ => false,
         }
@@ -107,7 +115,8 @@
         Err(PolicyErrorKind::ExpectedToken(expected).at(at))
     }
 
-    /// The next assignment; none at the end.
+    /// Parses the next assignment, or returns `None` at the end of the text. `before` are the
+    /// assignments parsed so far.
     fn assignment(&mut self, before: &[Assignment]) -> Result<Option<Assignment>, PolicyError> {
         let at = self.at();
         let name = match self.take() {
@@ -128,7 +137,7 @@
         }))
     }
 
-    /// Reads what is nested one level deeper.
+    /// Parses a part with `read`, one level deeper, and fails if the maximum depth is exceeded.
     fn nested<T>(
         &mut self,
         read: impl FnOnce(&mut Self) -> Result<T, PolicyError>,
@@ -154,7 +163,7 @@
         })
     }
 
-    /// What follows `if`.
+    /// Parses the part of a conditional after `if`.
     fn conditional(&mut self) -> Result<Node, PolicyError> {
         let condition = self.expression()?;
         self.expect("then")?;
@@ -168,13 +177,13 @@
         })))
     }
 
-    /// Operators of one precedence, from left to right.
+    /// Parses binary operators of one precedence, which are left-associative.
     fn binary(&mut self, precedence: usize) -> Result<Expr, PolicyError> {
         let Some(operators) = PRECEDENCE.get(precedence) else {
             return self.operand();
         };
         let mut left = self.binary(precedence + 1)?;
-        while let Some((_, operator)) = operators.iter().find(|(sign, _)| self.is_next(sign)) {
+        while let Some((_, operator)) = operators.iter().find(|(symbol, _)| self.is_next(symbol)) {
             let at = self.at();
             self.binary_operators += 1;
             if self.binary_operators > MAX_BINARY_OPERATORS {
@@ -194,8 +203,8 @@
             let node = match parser.take() {
                 Token::Number(number) => Node::Literal(Value::Number(number)),
                 Token::Text(text) => Node::Literal(Value::Text(text)),
-                Token::Sign("-") => Node::Negate(Box::new(parser.operand()?)),
-                Token::Sign("(") => {
+                Token::Symbol("-") => Node::Negate(Box::new(parser.operand()?)),
+                Token::Symbol("(") => {
                     let inner = parser.expression()?;
                     parser.expect(")")?;
                     inner.node
@@ -207,7 +216,8 @@
         })
     }
 
-    /// What a name or keyword that stands for an operand begins.
+    /// Parses the operand that begins with the identifier `name`: a literal, a negation, a
+    /// function call, or a name.
     fn identifier(&mut self, name: String, at: SourcePosition) -> Result<Node, PolicyError> {
         Ok(match name.as_str() {
             "true" => Node::Literal(Value::Boolean(true)),
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,10 @@
-//! What operators may choose, beyond the platform's file: a file of expressions,
-//! checked before the start, or the one that is compiled in.
+//! The operators' policy: settings that operators may change in addition to the platform's
+//! settings file. A policy file assigns expressions to settings and is checked before the
+//! controller starts. The built-in policy supplies the settings that the file leaves out.
 //!
-//! A policy shifts preferences and times within fixed ranges. It must never be able to weaken
-//! a guarantee: what it gives is bounded by the checker, and clamped again when it is used.
+//! Invariant: a policy can change preferences and times only within fixed ranges, so it can't
+//! weaken a guarantee. The checker refuses an expression whose value may leave its range, and
+//! the value is clamped again when it is used.
 
 pub mod lang;
 mod names;
@@ -17,43 +19,45 @@
 use rockdeal_types::suggestion::nearest;
 use std::path::Path;
 
-/// The policy without a file, as `rockdeal policy` prints it.
+/// Text of the built-in policy, as `rockdeal policy` prints it.
 pub const DEFAULT: &str = include_str!("default.policy");
 
-/// Why a policy file is refused.
+/// Reason why a policy file is refused.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("can't read policy file {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The system's error.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// It is wrong at some place.
+    /// The text of the file is not a valid policy.
     #[error("policy file {path}, {source}")]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong, and where.
+        /// First error in the file, with its position.
         source: PolicyError,
     },
 }
 
-/// The operators' choices. None of them can weaken a guarantee.
+/// A checked policy. None of its settings can weaken a guarantee.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
-    /// What a partition's owner carries: guaranteed cores, for each second between two
-    /// heartbeats of a machine and each whole core of its processor share.
+    /// Maximum load of a partition's owner: guaranteed cores per second of the machines'
+    /// heartbeat interval and per whole core of the owner's processor share.
     pub max_partition_load: f64,
-    /// How long a spot machine may be idle before it is released.
+    /// Time that a spot machine may be idle before it is released.
     pub spot_idle_timeout: Micros,
-    /// The same for an on-demand one, which costs several times as much.
+    /// Time that an on-demand machine may be idle before it is released. An on-demand machine
+    /// costs several times as much as a spot machine.
     pub on_demand_idle_timeout: Micros,
-    /// How long a machine may send no heartbeat before it is released.
+    /// Time without a heartbeat after which a machine is released.
     pub silence_timeout: Micros,
-    /// Work that would end within this time by itself causes no scale-out.
+    /// Run time below which tasks request less capacity, in proportion to their estimated run
+    /// time, because short tasks can run one after another.
     pub scale_out_horizon: Micros,
     weight: Expr,
     scale_out_factor: Expr,
@@ -62,10 +66,11 @@
 }
 
 impl Policy {
-    /// Reads and checks a file; what it leaves out is as by default.
+    /// Reads and checks a policy file. The built-in policy supplies the settings that the file
+    /// leaves out.
     ///
     /// # Errors
-    /// The file can't be read, or is wrong at some place.
+    /// Fails if the file can't be read or is not a valid policy.
     pub fn load(path: &Path, settings: &Settings) -> Result<Policy, LoadError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| LoadError::Unreadable {
@@ -75,25 +80,27 @@
         Policy::parse(&text, settings).map_err(|source| LoadError::Invalid { path: name, source })
     }
 
-    /// The policy without a file.
+    /// Returns the built-in policy.
     ///
     /// # Errors
-    /// It does not suit these settings.
+    /// Fails if the built-in policy is not valid for these settings.
     pub fn standard(settings: &Settings) -> Result<Policy, PolicyError> {
         Policy::parse("", settings)
     }
 
-    /// Reads and checks a policy's text.
+    /// Parses and checks the text of a policy. The built-in policy supplies the settings that
+    /// the text leaves out.
     ///
     /// # Errors
-    /// The first place where it is wrong.
+    /// Returns the first error in the text, with its position.
     pub fn parse(text: &str, settings: &Settings) -> Result<Policy, PolicyError> {
         let platform = PlatformValues::new(settings);
         let mut assignments = lang::parse(text)?;
         for assignment in &assignments {
             check_assignment(assignment, &platform)?;
         }
-        // The first assignment of a name is the file's, if it has one.
+        // `ChosenSettings` uses the first assignment of a name, so the file's assignments
+        // precede the built-in ones.
         assignments.extend(lang::parse(DEFAULT)?);
         let chosen = ChosenSettings {
             assignments,
@@ -112,10 +119,10 @@
         })
     }
 
-    /// What it decides about a job.
+    /// Returns the values of the job settings for a job.
     pub fn choice_for(&self, desc: &JobDesc) -> PolicyChoice {
         let value = |name: &str| job_value(desc, name).or_else(|| self.platform.value(name));
-        // A job may be larger than the checker's ranges know, hence the clamps.
+        // The clamps are needed because a job may exceed the ranges that the checker assumes.
         let number =
             |expression: &Expr, default: f64, bounds: NumberBounds| match expression.eval(&value) {
                 Some(Value::Number(number)) if number.is_finite() => {
@@ -135,9 +142,9 @@
         }
     }
 
-    /// Partitions that the fleet is divided into, at most one per controller. Work can't
-    /// use the capacity of another partition, so only a fleet that is too large for one owner
-    /// is divided (measured: see docs/design.md).
+    /// Returns the number of partitions that the fleet is divided into, at most one per
+    /// controller. Work can't use the capacity of another partition, so only a fleet that is too
+    /// large for one owner is divided (see docs/design.md).
     pub fn partition_count(&self, settings: &Settings) -> u64 {
         let platform = &settings.platform;
         let cpu_share = platform.limits.cpu_share.unwrap_or(1.0);
@@ -147,7 +154,8 @@
     }
 }
 
-/// The assignments of the file and those by default, in this order.
+/// Assignments of the file, followed by those of the built-in policy. The first assignment of a
+/// name takes effect.
 struct ChosenSettings {
     assignments: Vec<Assignment>,
     platform: PlatformValues,
@@ -175,7 +183,8 @@
     }
 }
 
-/// Whether an assignment sets a setting to what it may be.
+/// Checks that an assignment names a setting, and that its expression has the type and range of
+/// the setting.
 fn check_assignment(assignment: &Assignment, platform: &PlatformValues) -> Result<(), PolicyError> {
     let name = &assignment.name;
     let Some(rule) = SETTINGS.iter().find(|rule| rule.name == name) else {
@@ -189,13 +198,13 @@
     if rule.may_use_job {
         scope.extend(JOB_NAMES);
     }
-    let given = assignment.expression.check(&scope)?;
-    check_type(rule, given).map_err(|kind| kind.at(assignment.at))
+    let actual_type = assignment.expression.check(&scope)?;
+    check_type(rule, actual_type).map_err(|kind| kind.at(assignment.at))
 }
 
-fn check_type(rule: &SettingRule, given: ValueType) -> Result<(), PolicyErrorKind> {
+fn check_type(rule: &SettingRule, actual_type: ValueType) -> Result<(), PolicyErrorKind> {
     let name = rule.name;
-    match (given, rule.setting_type) {
+    match (actual_type, rule.setting_type) {
         (ValueType::Boolean, SettingType::Boolean) => Ok(()),
         (_, SettingType::Boolean) => Err(PolicyErrorKind::SettingNotBoolean(name)),
         (ValueType::Number { min, max }, SettingType::Number(bounds)) => {
--- a/src/policy/names.rs
+++ b/src/policy/names.rs
@@ -1,30 +1,30 @@
-//! The names of the policy file: its settings, and what expressions may use. Operators have
-//! these in their files, so none of them ever changes.
+//! The names in a policy file: its settings, and the names that expressions may use, with
+//! their types and ranges. Operators' files contain these names, so they never change.
 
 use super::lang::{Value, ValueType};
 use crate::jobs::{JobDesc, Priority};
 use crate::settings::Settings;
 
-/// The range of a setting that is a number.
+/// Allowed range of a setting that is a number, both ends included.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct NumberBounds {
     pub(super) min: f64,
     pub(super) max: f64,
 }
 
-/// The bounds of `weight`.
+/// Allowed range of the setting `weight`.
 pub(super) const WEIGHT: NumberBounds = NumberBounds {
     min: 0.01,
     max: 100.0,
 };
-/// The bounds of `rent`.
+/// Allowed range of the setting `rent`.
 pub(super) const SCALE_OUT_FACTOR: NumberBounds = NumberBounds { min: 0.0, max: 4.0 };
-/// Amounts of a job that no limit bounds are taken to be at most this.
+/// Largest amount of a job that the checker assumes where no limit exists.
 const MAX_AMOUNT: f64 = 1e9;
-/// Jobs are taken to have at most so many tasks.
+/// Largest number of tasks of a job that the checker assumes.
 const MAX_TASKS: f64 = 1e5;
 
-/// What a setting's expression must give.
+/// Type and range that a setting's expression must have.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum SettingType {
     Number(NumberBounds),
@@ -36,11 +36,12 @@
 pub(super) struct SettingRule {
     pub(super) name: &'static str,
     pub(super) setting_type: SettingType,
-    /// Whether its expression may use what is known of a job.
+    /// Whether the expression may use the names in [`JOB_NAMES`].
     pub(super) may_use_job: bool,
 }
 
-const fn of_platform(name: &'static str, min: f64, max: f64) -> SettingRule {
+/// A setting of the whole platform.
+const fn platform_setting(name: &'static str, min: f64, max: f64) -> SettingRule {
     SettingRule {
         name,
         setting_type: SettingType::Number(NumberBounds { min, max }),
@@ -48,7 +49,8 @@
     }
 }
 
-const fn of_job(name: &'static str, setting_type: SettingType) -> SettingRule {
+/// A setting that is evaluated for each job.
+const fn job_setting(name: &'static str, setting_type: SettingType) -> SettingRule {
     SettingRule {
         name,
         setting_type,
@@ -56,16 +58,16 @@
     }
 }
 
-/// All settings.
+/// All settings of a policy file.
 pub(super) const SETTINGS: [SettingRule; 8] = [
-    of_platform("block_load", 100.0, 1e9),
-    of_platform("idle_return_s", 1.0, 3600.0),
-    of_platform("idle_return_ordinary_s", 1.0, 3600.0),
-    of_platform("silent_s", 2.0, 600.0),
-    of_platform("rent_horizon_s", 1.0, 3600.0),
-    of_job("weight", SettingType::Number(WEIGHT)),
-    of_job("rent", SettingType::Number(SCALE_OUT_FACTOR)),
-    of_job("spot", SettingType::Boolean),
+    platform_setting("block_load", 100.0, 1e9),
+    platform_setting("idle_return_s", 1.0, 3600.0),
+    platform_setting("idle_return_ordinary_s", 1.0, 3600.0),
+    platform_setting("silent_s", 2.0, 600.0),
+    platform_setting("rent_horizon_s", 1.0, 3600.0),
+    job_setting("weight", SettingType::Number(WEIGHT)),
+    job_setting("rent", SettingType::Number(SCALE_OUT_FACTOR)),
+    job_setting("spot", SettingType::Boolean),
 ];
 
 const AMOUNT: ValueType = ValueType::Number {
@@ -73,7 +75,8 @@
     max: MAX_AMOUNT,
 };
 
-/// What expressions may use of a job, and what is known of it before it is submitted.
+/// Names of a job's properties that expressions may use, with the type and range that the
+/// checker assumes before a job is submitted.
 pub(crate) const JOB_NAMES: [(&str, ValueType); 10] = [
     ("class", ValueType::Text),
     ("team", ValueType::Text),
@@ -93,7 +96,7 @@
     ("has_deadline", ValueType::Boolean),
 ];
 
-/// The value of a name for a job; none: it is no name of a job.
+/// Returns the value of a job's property, or `None` if the name is not in [`JOB_NAMES`].
 pub(crate) fn job_value(desc: &JobDesc, name: &str) -> Option<Value> {
     let text = |text: &str| Value::Text(text.to_owned());
     Some(match name {
@@ -120,12 +123,13 @@
     }
 }
 
-/// What expressions may use of the platform's settings. It is the same for a whole run.
+/// Names and values of the platform's settings that expressions may use. The values do not
+/// change while a controller runs.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct PlatformValues([(&'static str, f64); 6]);
 
 impl PlatformValues {
-    /// The values in these settings.
+    /// Reads the values from the platform's settings.
     pub(crate) fn new(settings: &Settings) -> PlatformValues {
         let platform = &settings.platform;
         PlatformValues([
@@ -138,13 +142,14 @@
         ])
     }
 
-    /// The names, each with its value as its type.
+    /// Returns the names for the checker. The type of each is the range that holds only its
+    /// value.
     pub(crate) fn scope(&self) -> [(&'static str, ValueType); 6] {
         self.0
             .map(|(name, value)| (name, ValueType::constant(value)))
     }
 
-    /// The value of a name; none: it is no name of the platform.
+    /// Returns the value of a name, or `None` if the platform has no such name.
     pub(crate) fn value(&self, name: &str) -> Option<Value> {
         let found = self.0.iter().find(|(known, _)| *known == name);
         found.map(|(_, value)| Value::Number(*value))
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -1,3 +1,6 @@
+//! Guards against policy settings that are read wrongly or exceed their ranges, and against
+//! errors without a position or a hint.
+
 use super::*;
 use crate::jobs::Priority;
 use crate::jobs::tests::desc;
@@ -11,7 +14,7 @@
     Policy::parse(text, &settings()).expect("a valid policy")
 }
 
-/// The error that a policy is refused with, as printed.
+/// Returns the printed error with which a policy is refused.
 fn error(text: &str) -> String {
     Policy::parse(text, &settings())
         .expect_err(text)
@@ -19,7 +22,7 @@
 }
 
 #[test]
-fn file_overrides_named_settings_and_the_rest_is_default() {
+fn file_overrides_named_settings_and_others_keep_their_defaults() {
     let text = "silent_s = max(4 * report_s, 15); # patient\nidle_return_s = 2 + 3 * 4;";
     let policy = parse(text);
     assert_eq!(policy.silence_timeout, Micros::from_secs(15.0));
@@ -60,32 +63,39 @@
     assert!(unknown.contains("did you mean estimate_s?"), "{unknown}");
     assert!(
         error("silent_s = tasks;").contains("unknown"),
-        "no job in scope"
+        "a platform setting may not use the properties of a job"
     );
-    assert!(error("silent_s = 1;").contains("outside 2 to 600"));
+    assert!(error("silent_s = 1;").contains("must be from 2 to 600, got 1"));
     assert!(error("weight = tasks;").contains("clamp(..., 0.01, 100)"));
     assert!(error("rent = 1 / (cores - 1);").contains("divide by zero"));
     assert!(error("rent = 1 / 0;").contains("line 1, column 10"));
     assert!(error("spot = 1;").contains("true or false"));
     assert!(error("weight = if 1 then 1 else 2;").contains("true or false"));
     assert!(error("weight = if spot then 1 else 2;").contains("unknown"));
-    assert!(error("spot = class == 3;").contains("compared"));
+    assert!(
+        error("spot = class == 3;").contains("different types are compared: a text and a number")
+    );
     assert!(error("spot = class < \"x\";").contains("number"));
-    assert!(error("weight = 1").contains("; is missing"));
+    assert!(error("weight = 1").contains("expected `;`"));
     assert!(error("weight = 1; weight = 2;").contains("twice"));
-    assert!(error("weight = \"1;").contains("no end"));
-    assert!(error("weight = 1.2.3;").contains("no number"));
-    assert!(error("rent = clamp(1, 3, 2);").contains("least"));
+    assert!(error("weight = \"1;").contains("without a closing quote"));
+    assert!(error("weight = 1.2.3;").contains("invalid number 1.2.3"));
+    assert!(
+        error("rent = clamp(1, 3, 2);").contains("lower bound of clamp may exceed its upper bound")
+    );
     assert!(error("rent = min(1);").contains("arguments"));
-    assert!(error("weight = ~1;").contains("means nothing"));
+    assert!(error("weight = ~1;").contains("unexpected character '~'"));
     let deep = format!("weight = {}1{};", "(".repeat(500), ")".repeat(500));
     assert!(error(&deep).contains("too deep"));
     assert!(error(&format!("weight = {}1;", "-".repeat(500))).contains("too deep"));
-    assert!(error(&format!("weight = 1{};", "+1".repeat(9_000))).contains("too long"));
+    assert!(
+        error(&format!("weight = 1{};", "+1".repeat(9_000)))
+            .contains("more than 300 binary operators")
+    );
 }
 
 #[test]
-fn partition_count_follows_the_load_that_a_controller_carries() {
+fn partition_count_follows_the_maximum_load_of_a_controller() {
     let mut settings = settings();
     settings.platform.initial_size = 5;
     let mut partitions = |cores: f64, heartbeat_interval_s: f64, cpu_share: f64| {
--- a/src/subsystems/mod.rs
+++ b/src/subsystems/mod.rs
@@ -1,8 +1,9 @@
-//! The file that turns subsystems on: read and checked before the start, and refused in one
-//! line with the place and a remedy.
+//! The subsystems file, which enables optional subsystems and contains their settings. It is
+//! checked before the controller starts. An invalid file is refused with a message of one line
+//! that names the position of the error and a remedy.
 //!
-//! What the file does not name is off, and a subsystem that is off leaves records, frames
-//! and decisions as they are without it.
+//! Invariant: a subsystem that the file does not enable is disabled, and a disabled subsystem
+//! changes no records, frames or decisions.
 
 use crate::policy::lang::{PolicyError, SourcePosition};
 use crate::settings::Settings;
@@ -13,47 +14,48 @@
 use std::rc::Rc;
 use zone_failover::settings::{RawSettings, SettingsError, Site};
 
-/// Why the file is refused.
+/// Reason why a subsystems file is refused.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("can't read subsystems file {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The system's error.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// It is wrong at some place.
+    /// The text of the file is invalid.
     #[error("subsystems file {path}, {source}")]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong, and where.
+        /// First error in the file, with its position.
         source: SubsystemsError,
     },
 }
 
-/// What is wrong with the file, and where; printed in one line.
+/// Error in a subsystems file, with its position. The message is one line.
 #[derive(Debug, thiserror::Error)]
 #[error("{at}: {}", one_line(.source))]
 pub struct SubsystemsError {
-    /// Where.
+    /// Position of the error.
     pub at: SourcePosition,
-    /// What is wrong, and what to do about it.
+    /// Kind of the error.
     pub source: InvalidSubsystem,
 }
 
-/// What is wrong with a subsystem, and what to do about it.
+/// Kind of an error in a subsystems file. Its message includes the remedy.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidSubsystem {
-    /// The file is not TOML, or has an unknown field or one of another type.
+    /// The file is not TOML, or has an unknown field or a field of the wrong type.
     #[error("{}", .0.message())]
     Malformed(#[source] Box<toml::de::Error>),
     /// A setting of zone failover is invalid.
     #[error(transparent)]
     ZoneFailover(#[from] SettingsError),
-    /// The order of evacuation is no valid expression.
+    /// The setting `evacuation-priority` is not a valid expression. The position in the message
+    /// is relative to the expression.
     #[error("evacuation-priority: {0}")]
     EvacuationPriority(#[from] PolicyError),
 }
@@ -63,7 +65,7 @@
 }
 
 impl InvalidSubsystem {
-    /// The error at the start of a span of the text.
+    /// Returns the error with the position of the start of a span of the text.
     fn at(self, text: &str, span: &Range<usize>) -> SubsystemsError {
         SubsystemsError {
             at: SourcePosition::of_byte(text, span.start),
@@ -79,18 +81,18 @@
     zone_failover: RawSettings,
 }
 
-/// The subsystems that are on.
+/// Settings of the enabled subsystems.
 #[derive(Debug, Clone, Default)]
 pub struct Subsystems {
-    /// Zone failover.
+    /// Settings of zone failover; `None` if it is disabled.
     pub zone_failover: Option<Rc<ZoneFailoverConfig>>,
 }
 
 impl Subsystems {
-    /// Reads and checks a file.
+    /// Reads and checks a subsystems file.
     ///
     /// # Errors
-    /// The file can't be read, or is wrong at some place.
+    /// Fails if the file can't be read or its text is invalid.
     pub fn load(path: &Path, settings: &Settings) -> Result<Subsystems, LoadError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| LoadError::Unreadable {
@@ -101,10 +103,10 @@
             .map_err(|source| LoadError::Invalid { path: name, source })
     }
 
-    /// Reads and checks the text of a file.
+    /// Parses and checks the text of a subsystems file.
     ///
     /// # Errors
-    /// The first place where it is wrong.
+    /// Returns the first error in the text, with its position.
     pub fn parse(text: &str, settings: &Settings) -> Result<Subsystems, SubsystemsError> {
         let raw: RawFile = toml::from_str(text).map_err(|error: toml::de::Error| {
             let span = error.span().unwrap_or_default();
@@ -114,14 +116,15 @@
         Ok(Subsystems { zone_failover })
     }
 
-    /// The names of the subsystems that are on, as operators know them.
+    /// Returns the names of the enabled subsystems, as they are written in the file.
     pub fn names(&self) -> Vec<&'static str> {
         let zone_failover = self.zone_failover.as_ref().map(|_| "zone-failover");
         zone_failover.into_iter().collect()
     }
 }
 
-/// The settings of zone failover, if it is on. The order of evacuation is checked either way.
+/// Checks the settings of zone failover, and returns them if it is enabled. The expression for
+/// the order of evacuation is checked even if zone failover is disabled.
 fn zone_failover(
     text: &str,
     raw: &RawSettings,
--- a/src/subsystems/tests.rs
+++ b/src/subsystems/tests.rs
@@ -1,3 +1,6 @@
+//! Guards against subsystems that are enabled unintentionally, against a deployed file that
+//! differs from the default settings, and against errors without their position.
+
 use super::*;
 use crate::settings::tests::example;
 use serde_json::json;
@@ -9,7 +12,7 @@
     serde_json::from_value(value).expect("well formed")
 }
 
-fn refused(text: &str) -> String {
+fn refusal_message(text: &str) -> String {
     let error = Subsystems::parse(text, &settings()).expect_err(text);
     let message = error.to_string();
     assert!(!message.contains('\n'), "one line: {message}");
@@ -17,7 +20,7 @@
 }
 
 #[test]
-fn empty_file_turns_no_subsystem_on() {
+fn empty_file_enables_no_subsystem() {
     let subsystems = Subsystems::parse("", &settings()).expect("a valid file");
     assert!(subsystems.names().is_empty());
     let on =
@@ -26,10 +29,10 @@
 }
 
 #[test]
-fn deployed_file_is_valid_and_turns_no_subsystem_on() {
+fn deployed_file_is_valid_and_enables_no_subsystem() {
     let text = include_str!("../../deploy/subsystems.toml");
     let subsystems = Subsystems::parse(text, &settings()).expect("a valid file");
-    assert!(subsystems.names().is_empty(), "off until it is chosen");
+    assert!(subsystems.names().is_empty(), "disabled by default");
 }
 
 #[test]
@@ -47,7 +50,7 @@
         ),
     ];
     for (text, expected) in cases {
-        let message = refused(text);
+        let message = refusal_message(text);
         assert!(message.starts_with(expected), "{text}: {message}");
     }
 }
@@ -64,12 +67,15 @@
     let cases = [
         ("rank_levle", "did you mean rank_level?"),
         ("rank_level / tasks - tasks / due_s", "divide by zero"),
-        ("has_deadline", "must be a number, and is true or false"),
-        ("rank_level; weight = 1", "only one expression"),
-        ("", "a value is missing here"),
+        (
+            "has_deadline",
+            "the expression must be a number, got a boolean",
+        ),
+        ("rank_level; weight = 1", "expected a single expression"),
+        ("", "expected a value"),
     ];
     for (expression, expected) in cases {
-        let message = refused(&with(expression));
+        let message = refusal_message(&with(expression));
         assert!(message.contains(expected), "{expression}: {message}");
         assert!(
             message.starts_with("line 2, column 23: evacuation-priority: line 1"),
@@ -90,7 +96,7 @@
         (config.settings.clone(), config.order.clone())
     };
     assert_eq!(parts(&deployed), parts(&short));
-    // What is commented out is valid, too.
+    // The settings that are commented out in the deployed file are valid, too.
     let all = on.replace("# [[", "[[");
     let names = ["time-zone", "days", "from", "to", "zone", "state"];
     let all = names.iter().fold(all, |text, name| {
@@ -103,10 +109,10 @@
 
 #[test]
 fn names_of_the_evacuation_scope_are_fixed() {
-    let message = refused("[zone-failover]\nevacuation-priority = 'zzz'");
+    let message = refusal_message("[zone-failover]\nevacuation-priority = 'zzz'");
     let names = "known are report_s, lease_s, cancel_s, controllers, guaranteed_cores, cpu_share, \
                  class, team, rank, tasks, cores, memory_gb, image_gb, estimate_s, due_s, has_deadline, \
                  rank_level, keeps_deadline, waited_s, service";
     assert!(message.contains(names), "{message}");
-    assert!(refused("zzz = 1").ends_with("unknown field `zzz`, expected `zone-failover`"));
+    assert!(refusal_message("zzz = 1").ends_with("unknown field `zzz`, expected `zone-failover`"));
 }
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,4 +1,5 @@
-//! The command line: the lines that it prints, and its exit codes.
+//! Guards against changes of the command line's interface: the exact lines that `check`,
+//! `policy` and refused files print, and the exit codes. Scripts of operators depend on them.
 
 #![expect(clippy::expect_used, reason = "helpers of tests fail by panicking")]
 
@@ -29,16 +30,18 @@
     })
 }
 
-/// Each test has its own file: they run concurrently, and one that is being written is empty.
-fn settings(name: &str) -> PathBuf {
+/// Writes a valid settings file. Each test needs its own name: tests run concurrently, and a test
+/// could read the file of another while it is still empty.
+fn write_settings(name: &str) -> PathBuf {
     write_file(&format!("{name}.json"), &example().to_string())
 }
 
+/// Runs `rockdeal check` with a valid settings file and the given text of a subsystems file.
 fn check(name: &str, subsystems: &str) -> Output {
     Command::new(env!("CARGO_BIN_EXE_rockdeal"))
         .arg("check")
         .arg("--config")
-        .arg(settings(name))
+        .arg(write_settings(name))
         .arg("--subsystems")
         .arg(write_file(name, subsystems))
         .output()
@@ -46,13 +49,13 @@
 }
 
 #[test]
-fn check_prints_the_subsystems_that_are_on() {
+fn check_prints_the_enabled_subsystems() {
     let off = check("off.toml", "");
     assert!(off.status.success(), "{off:?}");
     let printed = String::from_utf8_lossy(&off.stdout);
     assert!(
         printed.trim_end().ends_with("; blocks: 1"),
-        "nothing is on: {printed}"
+        "no subsystem is enabled: {printed}"
     );
     let on = check("on.toml", "[zone-failover]\nenabled = true\n");
     assert!(on.status.success(), "{on:?}");
@@ -75,7 +78,8 @@
     assert!(printed.trim_end().ends_with(message), "{printed}");
 }
 
-/// The exit code, and what was printed, for these arguments and files.
+/// Runs the program. `files` are the settings file and the policy file, as far as they are given.
+/// Returns the exit code, the standard output and the standard error.
 fn run(args: &[&str], files: &[&PathBuf]) -> (Option<i32>, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_rockdeal"));
     command.args(args);
@@ -93,7 +97,7 @@
 
 #[test]
 fn check_and_policy_print_exactly_these_lines() {
-    let file = settings("good");
+    let file = write_settings("good");
     let checked = |more: &str| {
         let path = file.display();
         format!("{path}: fine; a block's lease is 20 s; blocks: 1{more}\n")
@@ -113,12 +117,12 @@
 
 #[test]
 fn refused_files_print_one_line_with_their_exit_code() {
-    let refused = |code, why: String| (Some(code), String::new(), format!("rockdeal: {why}\n"));
+    let refusal = |code, error: String| (Some(code), String::new(), format!("rockdeal: {error}\n"));
     let needed = "--config FILE is needed; see rockdeal --help".to_owned();
-    assert_eq!(run(&[], &[]), refused(2, needed));
+    assert_eq!(run(&[], &[]), refusal(2, needed));
     let mut same = example();
     same["mesh_addr"] = same["bind"].clone();
-    let good = settings("with-bad-policy");
+    let good = write_settings("with-bad-policy");
     let [missing, broken, empty, same, policy] = [
         std::env::temp_dir().join("rockdeal-none/none.json"),
         write_file("broken.json", "{"),
@@ -155,13 +159,17 @@
             &[&good, &policy],
             "policy file ",
             &policy,
-            ", line 2, column 1: silnt_s is no setting (did you mean silent_s?)",
+            ", line 2, column 1: unknown setting silnt_s (did you mean silent_s?)",
         ),
     ];
     for (files, before, file, after) in cases {
-        let expected = refused(1, format!("{before}{}{after}", file.display()));
+        let expected = refusal(1, format!("{before}{}{after}", file.display()));
         assert_eq!(run(&["check"], files), expected);
-        assert_eq!(run(&[], files), expected, "nor does a controller start");
+        assert_eq!(
+            run(&[], files),
+            expected,
+            "a controller must not start either"
+        );
     }
     assert_eq!(run(&["chekc"], &[]).0, Some(2));
 }
