--- a/src/zones/evacuation.rs
+++ b/src/zones/evacuation.rs
@@ -1,5 +1,9 @@
-//! The evacuation of lost zones and the return to them, as the owner of a partition tracks
-//! it: displaced jobs, silent machines that are retained, and tasks being moved back.
+//! Evacuation of lost zones and return to them, as the owner of a partition tracks them:
+//! displaced jobs, retained silent machines, and running tasks that are being moved back.
+//!
+//! A silent machine is a machine whose heartbeats do not arrive. Invariant: the silent machines
+//! of a lost zone are released, and machines are scaled out for its displaced jobs, only as far
+//! as the waves that the leader committed allow.
 
 use super::{ZoneFailoverConfig, ZoneSituation};
 use crate::clock::Micros;
@@ -13,14 +17,15 @@
 };
 use zone_failover::health::ZoneState;
 
-/// Silent machines of a zone that stays suspect are released after this.
+/// Time that the silent machines of a suspect zone are retained.
 const MAX_RETENTION: Micros = Micros::from_millis(15_000);
 
-/// Silent machines of a zone that only this owner finds down are retained for so long: until
-/// the leader has had the time to commit its decision.
+/// Time that the silent machines of a zone are retained if this owner observes the zone as down
+/// but no suspicion is committed. It gives the leader time to commit its decision.
 const MAX_LOCAL_RETENTION: Micros = Micros::from_millis(5_000);
 
-/// A move of a running task whose end was not seen counts against its team's budget so long.
+/// Time that a move of a running task counts against its team's budget. The owner does not track
+/// when a move ends.
 const MOVE_TIMEOUT: Micros = Micros::from_millis(60_000);
 
 /// A running task that is being moved back to its zone.
@@ -30,27 +35,29 @@
     expires_at: Micros,
 }
 
-/// Which jobs were displaced and which silent machines are retained, in one partition.
+/// Displaced jobs, retained silent machines and moves of running tasks in one partition.
 #[derive(Debug)]
 pub struct ZoneEvacuation {
-    /// The checked settings.
+    /// Checked settings.
     pub config: Rc<ZoneFailoverConfig>,
-    /// The states of the zones.
+    /// States of the zones.
     pub situation: Rc<ZoneSituation>,
     waves: Waves,
-    /// Jobs that lost an attempt with a zone.
+    /// Jobs that lost an attempt, or may have lost one, with a zone; each with that zone.
     displaced: BTreeMap<JobId, ZoneId>,
-    /// Silent machines of lost zones that may be released.
+    /// Silent machines of lost zones that may be released in the current wave.
     releasable: BTreeSet<MachineId>,
-    /// Since when a zone is suspect here.
+    /// Time at which this owner learned that a zone is suspect, by zone.
     suspect_since: BTreeMap<ZoneId, Micros>,
-    /// Since when this owner itself finds a zone down.
-    down_here: BTreeMap<ZoneId, Micros>,
+    /// Time at which this owner first observed that a zone is down, by zone.
+    locally_down_since: BTreeMap<ZoneId, Micros>,
+    /// Running tasks that are being moved back to their zone.
     moves: BTreeMap<AttemptKey, Move>,
 }
 
 impl ZoneEvacuation {
-    /// With nothing displaced, and every zone healthy until the first update.
+    /// Creates the state without displaced jobs. Every zone counts as healthy until the first
+    /// update.
     pub fn new(config: Rc<ZoneFailoverConfig>) -> Self {
         ZoneEvacuation {
             waves: Waves::new(config.settings.waves.clone()),
@@ -59,7 +66,7 @@
             displaced: BTreeMap::new(),
             releasable: BTreeSet::new(),
             suspect_since: BTreeMap::new(),
-            down_here: BTreeMap::new(),
+            locally_down_since: BTreeMap::new(),
             moves: BTreeMap::new(),
         }
     }
@@ -77,7 +84,8 @@
         }
     }
 
-    /// A job lost an attempt, or may have, on a machine of a zone.
+    /// Marks a job that lost an attempt, or may have lost one, on a machine of a zone as
+    /// displaced, if the zone is suspect or lost.
     pub fn displace(&mut self, job: &JobId, zone: &str) {
         let state = self.situation.state(zone);
         if matches!(state, ZoneState::Suspect | ZoneState::Lost) {
@@ -85,23 +93,24 @@
         }
     }
 
-    /// Drops jobs that have ended, and moves that have expired.
+    /// Removes displaced jobs that have ended, and moves that have expired.
     pub fn collect_garbage(&mut self, now: Micros, jobs: &BTreeMap<JobId, Job>) {
         self.displaced.retain(|id, _| jobs.contains_key(id));
         self.moves.retain(|_, task_move| task_move.expires_at > now);
     }
 
-    /// Whether any job was displaced.
+    /// Returns whether any job is displaced.
     pub fn has_displaced(&self) -> bool {
         !self.displaced.is_empty()
     }
 
-    /// The zone that a job was displaced from.
+    /// Returns the zone that a job was displaced from, or `None` if it is not displaced.
     pub fn displaced_from(&self, job: &JobId) -> Option<&ZoneId> {
         self.displaced.get(job)
     }
 
-    /// The place of a job among those that are moved out of lost zones now.
+    /// Returns the evacuation priority of a job, or `None` if the job is not displaced or its zone
+    /// is not being evacuated.
     fn priority(&self, job: &Job, wall_clock: Micros) -> Option<EvacuationPriority> {
         let zone = self.displaced.get(&job.desc.id)?;
         if !self.waves.is_evacuating(zone) {
@@ -112,7 +121,8 @@
         Some(priority)
     }
 
-    /// Puts displaced jobs into their stated order; the most urgent job comes first.
+    /// Orders displaced jobs by their evacuation priority. `jobs` must be in the order of urgency,
+    /// the most urgent job first.
     pub fn order<'a, T>(
         &self,
         jobs: Vec<T>,
@@ -129,13 +139,15 @@
         merge_displaced(jobs.into_iter().map(waiting).collect())
     }
 
-    /// Whether machines may be scaled out for a job: a displaced one waits for its wave.
+    /// Returns whether machines may be scaled out for a job. This is false only for a displaced job
+    /// that no wave has admitted yet.
     pub fn may_scale_out_for(&self, job: &JobId) -> bool {
         let zone = self.displaced.get(job);
         zone.is_none_or(|zone| self.waves.is_admitted(zone, job))
     }
 
-    /// Whether new work of a job stays out of a zone.
+    /// Returns whether tasks of a job must not be placed in a zone, see
+    /// [`ZoneSituation::closed_to`].
     pub fn closed_to(&self, job: &Job, zone: &str, wall_clock: Micros) -> bool {
         !self.situation.troubled.is_empty()
             && self
@@ -143,15 +155,16 @@
                 .closed_to(&job.desc, wall_clock.since(job.eligible_since()), zone)
     }
 
-    /// Whether a silent machine of a zone is not released for now.
+    /// Returns whether a silent machine of a zone must not be released yet.
     pub fn retains(&self, now: Micros, machine: &MachineId, zone: &str) -> bool {
         match self.situation.state(zone) {
-            // Guards against releasing a zone's machines just before it is suspect.
+            // Guards against releasing the machines of a zone shortly before the leader commits
+            // that the zone is suspect.
             ZoneState::Healthy | ZoneState::Probation => self
-                .down_here
+                .locally_down_since
                 .get(zone)
                 .is_some_and(|since| now.since(*since) < MAX_LOCAL_RETENTION),
-            // It may be back in a moment, with all that ran there.
+            // The zone may recover soon, with the attempts on its machines still running.
             ZoneState::Suspect => self
                 .suspect_since
                 .get(zone)
@@ -160,16 +173,18 @@
         }
     }
 
-    /// Takes in which zones this owner itself finds down.
+    /// Records which zones this owner itself observes as down.
     pub fn observe(&mut self, now: Micros, down: &BTreeSet<ZoneId>) {
-        self.down_here.retain(|zone, _| down.contains(zone));
+        self.locally_down_since
+            .retain(|zone, _| down.contains(zone));
         for zone in down {
-            self.down_here.entry(zone.clone()).or_insert(now);
+            self.locally_down_since.entry(zone.clone()).or_insert(now);
         }
     }
 
-    /// Which silent machines may be released in this wave, and which displaced jobs may have
-    /// machines scaled out for them. `silent` and the waiting tasks are by lost zone.
+    /// Determines which silent machines may be released in the current waves, and admits the
+    /// displaced jobs for which machines may be scaled out. `silent` lists the silent machines of
+    /// each lost zone.
     pub fn advance(
         &mut self,
         wall_clock: Micros,
@@ -196,8 +211,8 @@
         let mut waiting: Vec<&Job> = of_zone
             .filter_map(|(id, _)| jobs.get(id).filter(|job| job.wants_machines()))
             .collect();
-        // As placement orders them where their priorities are alike. Guards against capacity that
-        // is scaled out for one and taken by another, again and again.
+        // Jobs of equal priority are admitted in the order in which placement considers them.
+        // Otherwise capacity scaled out for one job could repeatedly be taken by another.
         waiting.sort_by_cached_key(|job| job.scheduling_order(wall_clock));
         waiting.reverse();
         waiting
@@ -210,12 +225,12 @@
             .collect()
     }
 
-    /// Whether a silent machine waits for a further wave.
+    /// Returns whether a silent machine must wait for a later wave before it is released.
     pub fn is_held_back(&self, zone: &ZoneId, machine: &MachineId) -> bool {
         self.waves.is_held_back(zone, machine)
     }
 
-    /// Displaced tasks of a zone that wait for a further wave.
+    /// Returns the number of waiting displaced tasks of a zone that no wave has admitted yet.
     pub fn tasks_held_back(&self, zone: &ZoneId, jobs: &BTreeMap<JobId, Job>) -> u32 {
         let of_zone = self.displaced.iter().filter(|(_, from)| *from == zone);
         of_zone
@@ -225,7 +240,7 @@
             .sum()
     }
 
-    /// Tasks of each team that are being moved back.
+    /// Returns the number of running tasks that are being moved back, by index of the team.
     pub fn moving(&self) -> BTreeMap<usize, u32> {
         let mut moving = BTreeMap::new();
         for task_move in self.moves.values() {
@@ -234,7 +249,7 @@
         moving
     }
 
-    /// A task is being moved back to its zone.
+    /// Records that the running attempt of a task is being moved back to its zone.
     pub fn moves(&mut self, now: Micros, task: AttemptKey, team: usize) {
         let expires_at = now + MOVE_TIMEOUT;
         self.moves.insert(task, Move { team, expires_at });
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -1,8 +1,9 @@
-//! Zone failover in a controller: what it observes of the zones, what it reads and commits of
-//! their states, and what placement and the autoscaler have to know.
+//! Zone failover in a controller. Passes the evidence about zones and the committed zone record
+//! to the package `zone-failover`, which makes the decisions, and writes the record that the
+//! package wants to commit. Provides the states of the zones to placement and the autoscaler.
 //!
-//! The decisions are in the package `zone-failover`; this slice feeds it and carries out
-//! what it says.
+//! Invariant: only the current leader can commit the zone record, because each commit is
+//! conditional on the leader's key.
 
 mod evacuation;
 mod order;
@@ -24,28 +25,29 @@
 use zone_failover::record::{RecordError, ZoneRecord, ZonesRecord};
 use zone_failover::view::ZoneView;
 
-/// The checked settings of zone failover.
+/// Checked settings of zone failover.
 #[derive(Debug)]
 pub struct ZoneFailoverConfig {
-    /// Of the package.
+    /// Settings of the package `zone-failover`.
     pub settings: zone_failover::settings::Settings,
-    /// The order of evacuation.
+    /// Order in which displaced jobs are evacuated.
     pub order: EvacuationOrder,
 }
 
-/// The states of the zones, as placement and the partitions' owners may rely on them.
+/// States of the zones that placement and the partitions' owners act on.
 #[derive(Debug, PartialEq)]
 pub struct ZoneSituation {
-    /// Zones that are not healthy.
+    /// Records of the zones that are not healthy.
     pub troubled: BTreeMap<ZoneId, ZoneRecord>,
-    /// Zones that were lost and are healthy again.
+    /// Records of the zones that were lost and are healthy again.
     pub returned: BTreeMap<ZoneId, ZoneRecord>,
-    /// A job that has waited for so long may use any machine whose heartbeats arrive.
+    /// Waiting time after which a job may use any machine whose heartbeats arrive, even in a zone
+    /// that is lost or on probation.
     pub patience: Micros,
 }
 
 impl ZoneSituation {
-    /// No zone was ever in trouble.
+    /// Creates the situation in which all zones are healthy and none was ever lost.
     pub fn healthy(config: &ZoneFailoverConfig) -> Self {
         ZoneSituation {
             troubled: BTreeMap::new(),
@@ -54,14 +56,14 @@
         }
     }
 
-    /// The state of a zone.
+    /// Returns the state of a zone.
     pub fn state(&self, zone: &str) -> ZoneState {
         self.troubled
             .get(zone)
             .map_or(ZoneState::Healthy, |zone| zone.state)
     }
 
-    /// Zones that are lost.
+    /// Returns the records of the zones that are lost.
     pub fn lost(&self) -> BTreeMap<ZoneId, ZoneRecord> {
         let lost = self
             .troubled
@@ -70,41 +72,46 @@
         lost.map(|(id, zone)| (id.clone(), zone.clone())).collect()
     }
 
-    /// Whether new work of a job stays out of a zone. Never for good: work that can go
-    /// nowhere else, or has waited for long, uses the machines there whose heartbeats arrive.
+    /// Returns whether tasks of a job must not be placed in a zone because the zone is lost or on
+    /// probation. This does not apply to a job that is bound to the zone, or that has waited for
+    /// at least [`ZoneSituation::patience`]: such a job may use the machines there whose
+    /// heartbeats arrive.
     pub fn closed_to(&self, job: &JobDesc, waited: Micros, zone: &str) -> bool {
         let avoided = matches!(self.state(zone), ZoneState::Lost | ZoneState::Probation);
-        let bound = job.zone.as_deref() == Some(zone);
-        avoided && !bound && waited < self.patience
+        let is_bound_to_zone = job.zone.as_deref() == Some(zone);
+        avoided && !is_bound_to_zone && waited < self.patience
     }
 }
 
-/// How often the view is evaluated without a change: the record of a leader that has lost
-/// its leadership counts for a while only.
+/// Interval at which the view is evaluated even without a change of the record, because the
+/// record of a replaced leader is valid only for a limited time.
 const REFRESH_INTERVAL: Micros = Micros::from_millis(500);
 
 /// Zone failover in one controller.
 #[derive(Debug)]
 pub struct ZoneFailover {
-    /// The checked settings.
+    /// Checked settings.
     pub config: Rc<ZoneFailoverConfig>,
     label: Label,
     leader: ZoneLeader,
     view: ZoneView,
-    /// The record as it was last read, with its revision.
+    /// Zone record as last read; `None` if there is none, or if it is unreadable.
     record: Option<ZonesRecord>,
+    /// Revision of the zone record in the store; 0 if there is none.
     record_revision: Revision,
-    /// A newer version wrote the record: it is left as it is.
-    is_newer: bool,
-    /// Records that could not be read so far.
-    unreadable: u64,
+    /// Whether a newer version of this program wrote the record. Such a record is not
+    /// overwritten.
+    is_record_newer: bool,
+    /// Number of unreadable records read so far.
+    unreadable_records: u64,
+    /// Sequence number of the last evidence of this controller.
     sequence: u64,
     situation: Rc<ZoneSituation>,
     last_refresh: Micros,
 }
 
 impl ZoneFailover {
-    /// With nothing known of any zone.
+    /// Creates the state of a controller that has received no evidence about any zone yet.
     pub fn new(config: Rc<ZoneFailoverConfig>, settings: &Settings) -> Self {
         let zones = settings
             .platform
@@ -119,20 +126,20 @@
             view: ZoneView::default(),
             record: None,
             record_revision: Revision(0),
-            is_newer: false,
-            unreadable: 0,
+            is_record_newer: false,
+            unreadable_records: 0,
             sequence: 0,
             situation: Rc::new(situation),
             last_refresh: Micros::ZERO,
         }
     }
 
-    /// The states of the zones.
+    /// Returns the states of the zones.
     pub fn situation(&self) -> &Rc<ZoneSituation> {
         &self.situation
     }
 
-    /// Takes in what was read of the store.
+    /// Updates the states of the zones from the records read from the store.
     pub fn sync(&mut self, now: Micros, cache: &WatchCache) {
         let (revision, value) = match &cache.zones {
             Some(Versioned {
@@ -143,13 +150,13 @@
         };
         if revision != self.record_revision {
             self.record_revision = revision;
-            self.is_newer = false;
+            self.is_record_newer = false;
             self.record = value.and_then(|value| match ZonesRecord::read(value) {
                 Ok(record) => Some(record),
                 Err(error) => {
-                    self.is_newer = matches!(error, RecordError::Newer(_));
-                    self.unreadable += 1;
-                    tracing::error!(%error, unreadable = self.unreadable, "zone record unreadable");
+                    self.is_record_newer = matches!(error, RecordError::Newer(_));
+                    self.unreadable_records += 1;
+                    tracing::error!(%error, unreadable = self.unreadable_records, "zone record unreadable");
                     None
                 }
             });
@@ -159,7 +166,8 @@
         self.refresh(now);
     }
 
-    /// Evaluates the view again, since time alone changes it, too.
+    /// Updates the states of the zones if `REFRESH_INTERVAL` has passed since the last update.
+    /// The states also change with time, without a new record.
     pub fn refresh_if_due(&mut self, now: Micros, cache: &WatchCache) {
         if now.since(self.last_refresh) >= REFRESH_INTERVAL {
             self.sync(now, cache);
@@ -178,13 +186,14 @@
         }
     }
 
-    /// Records a peer's evidence.
+    /// Records the evidence of a controller.
     pub fn record_evidence(&mut self, now: Micros, evidence: ZoneEvidence) {
         self.leader
             .handle(now, Micros::ZERO, Message::Evidence(evidence));
     }
 
-    /// What this controller sees, for its peers and for itself.
+    /// Creates the evidence of this controller from its counts, records it, and returns it to be
+    /// sent to the peers.
     pub fn evidence(
         &mut self,
         now: Micros,
@@ -202,12 +211,14 @@
         evidence
     }
 
-    /// This controller does not lead.
+    /// Records that this controller is not the leader.
     pub fn stop_leading(&mut self, now: Micros) {
         self.leader.handle(now, Micros::ZERO, Message::Following);
     }
 
-    /// This controller leads: what is to be committed now, if anything.
+    /// Evaluates the zones as the leader. Returns the conditions and mutations of the commit that
+    /// is due, or `None` if nothing has to be committed. `leader` is the condition that the
+    /// leader's key is unchanged.
     pub fn decide(
         &mut self,
         now: Micros,
@@ -222,13 +233,14 @@
         }
         let effects = self.leader.handle(now, wall_clock, Message::Tick);
         let Effect::Commit(record) = effects.into_iter().next()?;
-        if self.is_newer {
-            // Guards against an older version that takes back what a newer one committed.
+        if self.is_record_newer {
+            // An older version must not overwrite a record that a newer version committed.
             self.leader
                 .handle(now, wall_clock, Message::Committed { done: false });
             return None;
         }
-        // Conditional on the leader's key, so a leader that has been replaced is refused.
+        // The commit is conditional on the leader's key, so the store refuses the commit of a
+        // leader that has been replaced.
         let compares = vec![
             leader.clone(),
             Compare::new(keys::ZONES.into(), self.record_revision),
@@ -236,20 +248,21 @@
         Some((compares, vec![Mutation::put(keys::ZONES.into(), &record)]))
     }
 
-    /// The store has answered a commit.
+    /// Handles the store's reply to a commit.
     pub fn handle_commit_reply(&mut self, now: Micros, reply: &Reply) {
-        // One without an answer is retried: the same record does no harm twice.
+        // A commit whose outcome is unknown is retried. Writing the same record twice is harmless.
         let done = matches!(reply, Reply::Committed(_));
         self.leader
             .handle(now, Micros::ZERO, Message::Committed { done });
     }
 
-    /// Whether machines may be scaled out in a zone.
+    /// Returns whether new machines may be scaled out in a zone.
     pub fn scale_out_access(&self, now: Micros, zone: &str) -> ScaleOutAccess {
         self.leader.scale_out_access(now, &zone.into())
     }
 
-    /// A machine was scaled out to see whether a zone is back.
+    /// Records that a machine was scaled out to probe whether a zone is up again, which delays the
+    /// next probe.
     pub fn record_probe(&mut self, now: Micros, zone: &str) {
         self.leader.record_probe(now, &zone.into());
     }
