--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,10 @@
-//! rockdeal: a cluster scheduler that places waiting work lightest team first
-//! inside fenced partitions of machines that a leader leases to controllers.
+//! rockdeal: a cluster scheduler. A leader assigns partitions of the machines to controllers. The
+//! owner of a partition holds a lease and places waiting tasks on the partition's machines. The
+//! team with the lowest usage relative to its guaranteed quota is served first. Fencing tokens
+//! make workers reject the commands of an earlier owner.
 //!
-//! Every module keeps its decisions in plain, synchronous state that is given
-//! the time; only the thin drivers around them know sockets and clocks.
+//! Modules keep their decisions in synchronous state machines that receive the time as an
+//! argument. Only thin drivers around them use sockets and clocks.
 
 pub use rockdeal_types::{clock, ids};
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,6 +1,6 @@
-//! The command line: reads the files that a controller runs by, and hands over to the
-//! library. Errors are printed in one line; the exit code is 2 where the arguments are wrong
-//! and 1 where a file is, or where the controller can't run.
+//! The command line: reads and checks the files that configure a controller, and starts the
+//! controller. An error is printed to the standard error in one line. The exit code is 2 if the
+//! arguments are invalid, and 1 if a file is invalid or the controller can't run.
 
 use clap::{Parser, Subcommand};
 use rockdeal::controller::ListenError;
@@ -11,11 +11,11 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The exit code for arguments that can't be carried out, as clap's own.
+/// Exit code for invalid arguments, the same as clap's.
 const USAGE_EXIT_CODE: u8 = 2;
 
-/// A cluster scheduler: places work lightest team first inside fenced, leased
-/// partitions of machines.
+/// A cluster scheduler: places tasks inside fenced, leased partitions of machines and serves the
+/// team with the lowest usage relative to its guaranteed quota first.
 #[derive(Parser)]
 #[command(
     name = "rockdeal",
@@ -24,13 +24,13 @@
     args_conflicts_with_subcommands = true
 )]
 struct Cli {
-    /// The platform's settings file (JSON); runs a controller until killed.
+    /// Run a controller with this settings file of the platform (JSON), until it is killed.
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// The operators' policy; `rockdeal policy` prints the one that is built in.
+    /// Policy file; without it, the built-in policy applies (see `rockdeal policy`).
     #[arg(long, value_name = "FILE")]
     policy: Option<PathBuf>,
-    /// The subsystems that are on (TOML); without it all are off.
+    /// Subsystems file (TOML); without it, all subsystems are disabled.
     #[arg(long, value_name = "FILE")]
     subsystems: Option<PathBuf>,
     #[command(subcommand)]
@@ -39,23 +39,23 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check a settings file, and a policy for it, and say what is wrong with them.
+    /// Check a settings file, and optionally a policy file and a subsystems file for it.
     Check {
-        /// The platform's settings file (JSON).
+        /// Settings file of the platform (JSON).
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// The operators' policy.
+        /// Policy file.
         #[arg(long, value_name = "FILE")]
         policy: Option<PathBuf>,
-        /// The subsystems that are on (TOML).
+        /// Subsystems file (TOML).
         #[arg(long, value_name = "FILE")]
         subsystems: Option<PathBuf>,
     },
-    /// Print the policy that is built in, to start one's own from.
+    /// Print the built-in policy, as a template for a policy file.
     Policy,
 }
 
-/// Why the command failed.
+/// Reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     /// Neither a command nor a settings file was given.
@@ -67,16 +67,16 @@
     /// The policy file is refused.
     #[error(transparent)]
     Policy(#[from] policy::LoadError),
-    /// The policy that is built in does not suit the settings.
+    /// The built-in policy is not valid for these settings.
     #[error(transparent)]
     StandardPolicy(#[from] policy::lang::PolicyError),
     /// The subsystems file is refused.
     #[error(transparent)]
     Subsystems(#[from] subsystems::LoadError),
-    /// The system gives no runtime.
-    #[error("can't start the runtime: {0}")]
+    /// The asynchronous runtime can't be started.
+    #[error("can't start the asynchronous runtime: {0}")]
     Runtime(#[source] std::io::Error),
-    /// The controller can't listen.
+    /// The controller can't listen on its addresses.
     #[error(transparent)]
     Listen(#[from] ListenError),
 }
@@ -90,21 +90,21 @@
     }
 }
 
-/// The files that a controller runs by.
-struct Files {
+/// Paths of the files that configure a controller.
+struct ConfigurationFiles {
     config: PathBuf,
     policy: Option<PathBuf>,
     subsystems: Option<PathBuf>,
 }
 
-/// The contents of the files, checked.
+/// Checked contents of the configuration files.
 struct Configuration {
     settings: Settings,
     policy: Policy,
     subsystems: Subsystems,
 }
 
-impl Files {
+impl ConfigurationFiles {
     fn load(&self) -> Result<Configuration, CommandError> {
         let settings = Settings::load(&self.config)?;
         let policy = match &self.policy {
@@ -122,7 +122,8 @@
         })
     }
 
-    /// Checks the files, and prints in one line what follows from them.
+    /// Checks the files, and prints one line with the length of a lease, the number of partitions
+    /// and the enabled subsystems.
     fn check(&self) -> Result<(), CommandError> {
         let Configuration {
             settings,
@@ -140,7 +141,7 @@
     }
 }
 
-/// The subsystems that are on, for the line that a check prints.
+/// Returns the part of the line printed by `check` that lists the enabled subsystems.
 fn subsystems_suffix(subsystems: &Subsystems) -> String {
     match subsystems.names().as_slice() {
         [] => String::new(),
@@ -148,7 +149,8 @@
     }
 }
 
-/// Logs to the standard error, from the level that `LOG_LEVEL` names on.
+/// Starts logging to the standard error. The environment variable `LOG_LEVEL` selects the level:
+/// `debug` or `info`; any other value selects errors only.
 fn start_logging() {
     use tracing_subscriber::filter::LevelFilter;
     let level = match std::env::var("LOG_LEVEL").as_deref() {
@@ -188,7 +190,7 @@
             config,
             policy,
             subsystems,
-        }) => Files {
+        }) => ConfigurationFiles {
             config,
             policy,
             subsystems,
@@ -199,7 +201,7 @@
             Ok(())
         }
         None => {
-            let files = Files {
+            let files = ConfigurationFiles {
                 config: cli.config.ok_or(CommandError::NoConfig)?,
                 policy: cli.policy,
                 subsystems: cli.subsystems,
--- a/tests/external_names.rs
+++ b/tests/external_names.rs
@@ -1,9 +1,10 @@
-//! The names that leave the process: fields and values of messages, keys of the store,
-//! settings, flags and the like. Other programs, older versions and operators' files use
-//! them, so a rename inside the code must not change them.
+//! Guards against changes of names that are part of an external interface: fields and values of
+//! messages, keys of the store, settings, flags and others. Such a name changes when an
+//! identifier that is serialized under its own name is renamed. Other programs, older versions
+//! and operators' files depend on these names.
 //!
-//! `docs/external-names.txt` lists them, one a line: kind, name and the file that holds it,
-//! separated by tabs.
+//! `docs/external-names.txt` lists the names, one per line. A line consists of the kind, the name
+//! and the path of the file that contains it, separated by tabs.
 
 #![expect(clippy::expect_used, reason = "helpers of tests fail by panicking")]
 
@@ -12,6 +13,7 @@
 
 const LIST: &str = include_str!("../docs/external-names.txt");
 
+/// One line of the list.
 struct ExternalName {
     kind: &'static str,
     name: &'static str,
@@ -22,7 +24,7 @@
     LIST.lines()
         .map(|line| match *line.split('\t').collect::<Vec<_>>() {
             [kind, name, file] if !name.is_empty() => ExternalName { kind, name, file },
-            _ => panic!("not `kind<TAB>name<TAB>file`: {line:?}"),
+            _ => panic!("expected a line `kind<TAB>name<TAB>file`, got {line:?}"),
         })
         .collect()
 }
@@ -31,7 +33,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// The text of a file without its comment lines.
+/// Returns the text of a file without its comment lines.
 fn code_of(path: &Path) -> String {
     let text = std::fs::read_to_string(path)
         .unwrap_or_else(|error| panic!("can't read {}: {error}", path.display()));
@@ -47,21 +49,22 @@
     character.is_alphanumeric() || character == '_'
 }
 
-/// The places at which `name` stands in `code` as whole words.
+/// Returns the byte offsets at which `name` occurs in `code` as a whole word.
 fn occurrences<'a>(code: &'a str, name: &'a str) -> impl Iterator<Item = usize> + 'a {
     code.match_indices(name)
-        .map(|(at, _)| at)
-        .filter(move |&at| {
-            let before = code[..at].chars().next_back();
-            let after = code[at + name.len()..].chars().next();
-            let starts = !name.starts_with(is_word) || !before.is_some_and(is_word);
-            let ends = !name.ends_with(is_word) || !after.is_some_and(is_word);
-            starts && ends
+        .map(|(offset, _)| offset)
+        .filter(move |&offset| {
+            let before = code[..offset].chars().next_back();
+            let after = code[offset + name.len()..].chars().next();
+            let is_word_start = !name.starts_with(is_word) || !before.is_some_and(is_word);
+            let is_word_end = !name.ends_with(is_word) || !after.is_some_and(is_word);
+            is_word_start && is_word_end
         })
 }
 
-/// Whether `name` stands in a string literal, which no rename by the compiler changes.
-fn stands_in_literal(code: &str, name: &str) -> bool {
+/// Returns whether `name` occurs in a string literal, which a rename of identifiers does not
+/// change.
+fn occurs_in_literal(code: &str, name: &str) -> bool {
     let literals = code
         .lines()
         .flat_map(|line| line.split('"').skip(1).step_by(2));
@@ -70,7 +73,8 @@
         .any(|literal| occurrences(literal, name).next().is_some())
 }
 
-/// The identifiers that serde writes as `name` without a `rename`.
+/// Returns the identifiers, of a field and of an enum variant, that serde can write as `name`
+/// without a `rename` attribute for that field or variant.
 fn identifiers(name: &str) -> [String; 2] {
     let snake = name.replace('-', "_");
     let camel = snake
@@ -83,29 +87,31 @@
     [snake, camel]
 }
 
-/// Whether `name` is declared as a field or an enum variant under its own name, or is used as
-/// an identifier of a library, as the header constants are.
-fn stands_as_identifier(code: &str, name: &str) -> bool {
+/// Returns whether `name` occurs where a field or an enum variant is declared, or as an identifier
+/// of a library such as a constant for an HTTP header.
+fn occurs_as_identifier(code: &str, name: &str) -> bool {
     identifiers(name).iter().any(|identifier| {
-        occurrences(code, identifier).any(|at| {
-            let rest = code[at + identifier.len()..].trim_start();
+        occurrences(code, identifier).any(|offset| {
+            let rest = code[offset + identifier.len()..].trim_start();
             rest.starts_with([':', ',', '{', '=', ')', '}'])
         })
     })
 }
 
-fn stands(code: &str, name: &str, is_rust: bool) -> bool {
+/// Returns whether the code of a file contains `name` as an external name.
+fn contains_external_name(code: &str, name: &str, is_rust: bool) -> bool {
     if !is_rust {
         return occurrences(code, name).next().is_some();
     }
-    // A name this short stands in nearly every file as an identifier of something else.
+    // Names of one or two letters occur in most files as identifiers of other things.
     const MAX_SHORT_NAME: usize = 2;
-    stands_in_literal(code, name)
-        || (name.len() > MAX_SHORT_NAME && stands_as_identifier(code, name))
+    occurs_in_literal(code, name)
+        || (name.len() > MAX_SHORT_NAME && occurs_as_identifier(code, name))
         || is_declared_field(code, name)
 }
 
-/// Whether a struct declares a public field of this name; also for names of two letters.
+/// Returns whether a line begins with the declaration of a field of this name. This also covers
+/// names of one or two letters.
 fn is_declared_field(code: &str, name: &str) -> bool {
     let identifiers = identifiers(name);
     code.lines().map(str::trim).any(|line| {
@@ -118,7 +124,7 @@
 }
 
 #[test]
-fn every_listed_name_stands_in_its_file() {
+fn every_listed_name_occurs_in_its_file() {
     let mut code_by_file = BTreeMap::new();
     let mut missing = Vec::new();
     for listed in external_names() {
@@ -126,17 +132,20 @@
         let code = code_by_file
             .entry(listed.file)
             .or_insert_with(|| code_of(&path));
-        if !stands(code, listed.name, listed.file.ends_with(".rs")) {
+        if !contains_external_name(code, listed.name, listed.file.ends_with(".rs")) {
             missing.push(format!(
                 "{} {} in {}",
                 listed.kind, listed.name, listed.file
             ));
         }
     }
-    assert!(missing.is_empty(), "no longer in the sources: {missing:#?}");
+    assert!(
+        missing.is_empty(),
+        "listed names that their files no longer contain: {missing:#?}"
+    );
 }
 
-/// The source files of all packages, without those of tests.
+/// Returns the source files of all packages except test files.
 fn source_files() -> Vec<PathBuf> {
     let mut folders = vec![root().join("src"), root().join("crates")];
     let mut files = Vec::new();
@@ -157,7 +166,7 @@
     files
 }
 
-/// The names that serde attributes of a file give.
+/// Returns the names in the `rename` attributes of a file.
 fn renamed(code: &str) -> BTreeSet<&str> {
     let attributes = code.split("rename = \"").skip(1);
     attributes
@@ -184,7 +193,10 @@
             }
         }
     }
-    assert!(found > 0, "no serde attribute was found: look at the paths");
+    assert!(
+        found > 0,
+        "no serde attribute was found; check the paths of the sources"
+    );
     assert!(
         unlisted.is_empty(),
         "not in docs/external-names.txt: {unlisted:#?}"
@@ -192,7 +204,7 @@
 }
 
 #[test]
-fn the_list_is_sorted_and_names_nothing_twice() {
+fn list_is_sorted_without_duplicates() {
     let lines: Vec<&str> = LIST.lines().collect();
     let mut sorted = lines.clone();
     sorted.sort_unstable();
