--- a/src/main.rs
+++ b/src/main.rs
@@ -69,7 +69,7 @@
     Policy(#[from] policy::LoadError),
     /// The built-in policy is not valid for these settings.
     #[error(transparent)]
-    StandardPolicy(#[from] policy::lang::PolicyError),
+    BuiltInPolicy(#[from] policy::lang::PolicyError),
     /// The subsystems file is refused.
     #[error(transparent)]
     Subsystems(#[from] subsystems::LoadError),
@@ -109,7 +109,7 @@
         let settings = Settings::load(&self.config)?;
         let policy = match &self.policy {
             Some(file) => Policy::load(file, &settings)?,
-            None => Policy::standard(&settings)?,
+            None => Policy::built_in(&settings)?,
         };
         let subsystems = match &self.subsystems {
             Some(file) => Subsystems::load(file, &settings)?,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// Fails if the built-in policy is not valid for these settings.
-    pub fn standard(settings: &Settings) -> Result<Policy, PolicyError> {
+    pub fn built_in(settings: &Settings) -> Result<Policy, PolicyError> {
         Policy::parse("", settings)
     }
 
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -6,8 +6,9 @@
 use crate::jobs::tests::desc;
 use crate::settings::tests::settings;
 
+/// Returns the built-in policy for the example settings.
 pub fn standard() -> Policy {
-    Policy::standard(&settings()).expect("a valid default")
+    Policy::built_in(&settings()).expect("a valid default")
 }
 
 fn parse(text: &str) -> Policy {
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -3,6 +3,7 @@
 
 use super::*;
 
+/// Returns a valid settings file as JSON.
 pub fn example() -> serde_json::Value {
     serde_json::json!({
         "label": "c0", "area": "x", "bind": "127.0.0.1:9000", "mesh_addr": "127.0.0.1:9001",
@@ -25,6 +26,7 @@
     })
 }
 
+/// Returns the settings of the valid example.
 pub fn settings() -> Settings {
     serde_json::from_value(example()).expect("the example is well formed")
 }
--- a/src/subsystems/tests.rs
+++ b/src/subsystems/tests.rs
@@ -5,6 +5,7 @@
 use crate::settings::tests::example;
 use serde_json::json;
 
+/// Returns settings with an objective for one class of jobs.
 fn settings() -> Settings {
     let mut value = example();
     value["settings"]["objectives"] =
@@ -12,6 +13,7 @@
     serde_json::from_value(value).expect("well formed")
 }
 
+/// Returns the message with which a file is refused, which must be one line.
 fn refusal_message(text: &str) -> String {
     let error = Subsystems::parse(text, &settings()).expect_err(text);
     let message = error.to_string();
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -7,6 +7,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
+/// Writes a file into a directory of this test process, and returns its path.
 fn write_file(name: &str, text: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("rockdeal-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
@@ -15,6 +16,7 @@
     path
 }
 
+/// Returns valid settings.
 fn example() -> Value {
     json!({
         "label": "c0", "bind": "127.0.0.1:9000", "mesh_addr": "127.0.0.1:9001", "seeds": [],
@@ -45,7 +47,7 @@
         .arg("--subsystems")
         .arg(write_file(name, subsystems))
         .output()
-        .expect("it runs")
+        .expect("the program starts")
 }
 
 #[test]
@@ -55,7 +57,7 @@
     let printed = String::from_utf8_lossy(&off.stdout);
     assert!(
         printed.trim_end().ends_with("; blocks: 1"),
-        "no subsystem is enabled: {printed}"
+        "expected no enabled subsystem: {printed}"
     );
     let on = check("on.toml", "[zone-failover]\nenabled = true\n");
     assert!(on.status.success(), "{on:?}");
@@ -86,7 +88,7 @@
     for (option, file) in ["--config", "--policy"].iter().zip(files) {
         command.arg(option).arg(file);
     }
-    let output = command.output().expect("it runs");
+    let output = command.output().expect("the program starts");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
     (
         output.status.code(),
