--- a/src/partition_owner/failback.rs
+++ b/src/partition_owner/failback.rs
@@ -61,7 +61,7 @@
             .map(|candidate| (candidate.task.key.1.clone(), candidate.target.clone()))
             .collect();
         let tasks = candidates.into_iter().map(|candidate| candidate.task);
-        let chosen = failback::choose(tasks.collect(), &evacuation.moving(), settings);
+        let chosen = failback::choose(tasks.collect(), &evacuation.moves_by_team(), settings);
         for (source, key) in chosen {
             if let Some(target) = targets.get(&key) {
                 self.move_task(now, &source, &key, target);
@@ -206,7 +206,7 @@
             machine.reservations.add(reservation);
         }
         if let Some(evacuation) = &mut self.zone_evacuation {
-            evacuation.moves(now, key.clone(), team);
+            evacuation.record_move(now, key.clone(), team);
         }
         tracing::info!(partition = %self.id(), job = %key.task.job, task = %key.task, attempt = %key.attempt, machine = %source, %target, "task failback started");
     }
--- a/src/zones/evacuation.rs
+++ b/src/zones/evacuation.rs
@@ -241,16 +241,16 @@
     }
 
     /// Returns the number of running tasks that are being moved back, by index of the team.
-    pub fn moving(&self) -> BTreeMap<usize, u32> {
-        let mut moving = BTreeMap::new();
+    pub fn moves_by_team(&self) -> BTreeMap<usize, u32> {
+        let mut moves_by_team = BTreeMap::new();
         for task_move in self.moves.values() {
-            *moving.entry(task_move.team).or_default() += 1;
+            *moves_by_team.entry(task_move.team).or_default() += 1;
         }
-        moving
+        moves_by_team
     }
 
     /// Records that the running attempt of a task is being moved back to its zone.
-    pub fn moves(&mut self, now: Micros, task: AttemptKey, team: usize) {
+    pub fn record_move(&mut self, now: Micros, task: AttemptKey, team: usize) {
         let expires_at = now + MOVE_TIMEOUT;
         self.moves.insert(task, Move { team, expires_at });
     }
