--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -15,7 +15,7 @@
     Policy::parse(text, &settings()).expect("a valid policy")
 }
 
-/// Returns the printed error with which a policy is refused.
+/// Returns the text of the error with which a policy is refused.
 fn error(text: &str) -> String {
     Policy::parse(text, &settings())
         .expect_err(text)
