--- a/src/policy/lang/error.rs
+++ b/src/policy/lang/error.rs
@@ -69,7 +69,7 @@
     #[error("the text must not be larger than 64 KiB")]
     FileTooLarge,
     /// An assignment that does not begin with a name.
-    #[error("expected the name of a setting")]
+    #[error("expected the name of a setting or the end of the text")]
     ExpectedName,
     /// A second assignment to the same name.
     #[error("setting {0} is assigned twice")]
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -109,7 +109,7 @@
         value: usize,
     },
     /// The upcoming size of a value can't hold the largest required record.
-    #[error("state.next.value_kb must allow values of {needed_bytes} bytes, got {bytes} bytes")]
+    #[error("state.next.value_kb must allow values of at least {needed_bytes} bytes, got {bytes}")]
     NextValueTooSmall {
         /// Largest size of a value, in bytes.
         bytes: usize,
@@ -140,8 +140,8 @@
     /// The cancellation timeout exceeds the workers' lease by too little for a controller's
     /// lease.
     #[error(
-        "workers.cancel_s exceeds workers.lease_s by {room_s} s, too little for a controller \
-         lease of at least {MIN_LEASE_S} s and its safety margin"
+        "workers.cancel_s minus workers.lease_s is {room_s} s, too little for a controller lease \
+         of at least {MIN_LEASE_S} s and its safety margin"
     )]
     NoRoomForLease {
         /// Difference between the two settings, in seconds; negative if the workers' lease is
