--- a/crates/rockdeal-types/src/clock.rs
+++ b/crates/rockdeal-types/src/clock.rs
@@ -1,48 +1,50 @@
-//! Time as whole microseconds.
+//! Points in time and durations in whole microseconds, and the clocks that they are read from.
+//!
+//! Addition and subtraction of [`Micros`] saturate: they neither go below zero nor overflow.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 
-/// A point in time, or a span of it, in whole microseconds.
+/// A point in time or a duration, in whole microseconds.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// No time.
+    /// The duration of zero, or the origin of a clock.
     pub const ZERO: Micros = Micros(0);
 
-    /// From milliseconds.
-    pub const fn from_millis(ms: u64) -> Self {
-        Micros(ms * 1_000)
+    /// Converts whole milliseconds.
+    pub const fn from_millis(millis: u64) -> Self {
+        Micros(millis * 1_000)
     }
 
-    /// Seconds from the wire; negative and non-finite values count as zero.
-    pub fn from_secs(s: f64) -> Self {
-        if s.is_finite() && s > 0.0 {
-            Micros((s * 1e6) as u64)
+    /// Converts seconds, as messages contain them. Negative and non-finite values give zero.
+    pub fn from_secs(secs: f64) -> Self {
+        if secs.is_finite() && secs > 0.0 {
+            Micros((secs * 1e6) as u64)
         } else {
             Micros(0)
         }
     }
 
-    /// In seconds.
+    /// Converts to seconds.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// The time since `earlier`, zero if that is not earlier.
+    /// Returns the time that has passed since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// A part of this span.
-    pub fn part(self, of: f64) -> Micros {
-        Micros((self.0 as f64 * of) as u64)
+    /// Returns this duration multiplied by `fraction`.
+    pub fn part(self, fraction: f64) -> Micros {
+        Micros((self.0 as f64 * fraction) as u64)
     }
 
-    /// As the standard library's duration.
+    /// Converts to the duration type of the standard library.
     pub fn duration(self) -> std::time::Duration {
         std::time::Duration::from_micros(self.0)
     }
@@ -62,24 +64,32 @@
     }
 }
 
-/// The process's monotonic clock. The cores never read it: the time is passed to them.
+/// The monotonic clock of the process.
+///
+/// Only the code around the state machines reads it. The state machines never do: they are
+/// given the current time as an argument.
 #[derive(Debug, Clone, Copy)]
 pub struct MonotonicClock(std::time::Instant);
 
 impl MonotonicClock {
-    /// A clock that starts now.
+    /// Starts a clock.
     pub fn start() -> Self {
         MonotonicClock(std::time::Instant::now())
     }
 
-    /// The time since the start.
+    /// Returns the time since the start of the clock, plus one second.
     pub fn now(&self) -> Micros {
-        // A second is added so that "long ago" can be told from zero.
+        // The first reading is one second, so that it differs from `Micros::ZERO`, which stands
+        // for "long ago".
         Micros(self.0.elapsed().as_micros() as u64 + 1_000_000)
     }
 }
 
-/// The time of day, for records that outlive a process. Never used for leases.
+/// Returns the time of day, as microseconds since 1970 (UTC), or zero if the system clock is
+/// set to an earlier date.
+///
+/// It is for records that outlive the process. Leases never use it, because a wall clock can
+/// be set forward or back.
 pub fn wall_clock_now() -> Micros {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     Micros(since.map_or(0, |since_epoch| since_epoch.as_micros() as u64))
--- a/crates/rockdeal-types/src/ids.rs
+++ b/crates/rockdeal-types/src/ids.rs
@@ -1,11 +1,11 @@
-//! Names and numbers that must not be mixed up.
+//! Identifiers, each a type of its own, so that the compiler refuses one in the place of another.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Borrow;
 use std::fmt;
 use std::sync::Arc;
 
-macro_rules! name {
+macro_rules! string_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -13,24 +13,24 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// As text.
+            /// Returns the identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
         }
         impl From<String> for $name {
-            fn from(s: String) -> Self {
-                $name(s.into())
+            fn from(text: String) -> Self {
+                $name(text.into())
             }
         }
         impl From<&str> for $name {
-            fn from(s: &str) -> Self {
-                $name(s.into())
+            fn from(text: &str) -> Self {
+                $name(text.into())
             }
         }
         impl From<$name> for String {
-            fn from(n: $name) -> String {
-                n.0.to_string()
+            fn from(id: $name) -> String {
+                id.0.to_string()
             }
         }
         impl fmt::Display for $name {
@@ -41,7 +41,7 @@
     };
 }
 
-macro_rules! number {
+macro_rules! numeric_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
@@ -56,98 +56,112 @@
     };
 }
 
-name!(
-    /// A job's id, chosen by its user.
+string_id!(
+    /// The id of a job, chosen by the user who submits it.
     JobId
 );
-name!(
-    /// A machine's name, given by the cloud.
+string_id!(
+    /// The name of a machine, assigned by the cloud.
     MachineId
 );
-name!(
-    /// A controller's name.
+string_id!(
+    /// The name of a controller, from its settings file.
     Label
 );
-name!(
-    /// A zone: machines that one loss of power or network may take away together.
+string_id!(
+    /// The name of a zone: a set of machines that a single loss of power or network may disable
+    /// together.
     ZoneId
 );
-number!(
-    /// A fencing term: every grant gets a new one, and numbers are never reused.
+numeric_id!(
+    /// A fencing term. Every grant of ownership has a new term, and terms are never reused.
     Term
 );
-number!(
-    /// The revision at which a key of the state service last changed; 0: no such key.
+numeric_id!(
+    /// The revision at which a key of the state service last changed; 0 if the key does not
+    /// exist.
     Revision
 );
-number!(
-    /// What a worker compares: a machine's term above, the owner's own epoch below.
+numeric_id!(
+    /// A fencing token. Workers compare tokens to refuse commands of earlier owners and delayed
+    /// commands of the current one.
+    ///
+    /// The high bits hold the term under which the machine is commanded, the low 20 bits the
+    /// epoch of the owner within that term.
     FencingToken
 );
-number!(
-    /// An attempt to run a task.
+numeric_id!(
+    /// The id of one attempt to run a task.
     AttemptId
 );
-number!(
-    /// A lease of the state service.
+numeric_id!(
+    /// The id of a lease of the state service.
     LeaseId
 );
-number!(
-    /// A partition: machines and the teams whose work runs on them.
+numeric_id!(
+    /// The number of a partition: a set of machines and the teams whose work runs on them.
     PartitionId
 );
 
-/// Alike in order and in equality, so that maps by zone can be asked with plain text.
+/// A zone and its name as text have the same order, equality and hash, so that a map keyed by
+/// zone can be queried with a `&str`.
 impl Borrow<str> for ZoneId {
     fn borrow(&self) -> &str {
         &self.0
     }
 }
 
-/// How many epochs an owner has below each term.
+/// Number of low bits of a fencing token that hold the epoch, and of an attempt id that hold the
+/// counter. The term is in the bits above them.
 const EPOCH_BITS: u32 = 20;
 
 impl FencingToken {
-    /// Epochs let an owner fence its own delayed commands without asking anyone:
-    /// its term stays above every older one whatever the epoch.
+    /// Combines a term and an epoch. Epochs above the largest that fits in 20 bits are reduced
+    /// to it.
+    ///
+    /// An owner raises its epoch to fence its own delayed commands, which needs no request to
+    /// another process. A token of a higher term is above every token of a lower one, whatever
+    /// the epochs are.
     pub fn of(term: Term, epoch: u64) -> FencingToken {
         FencingToken((term.0 << EPOCH_BITS) | epoch.min((1 << EPOCH_BITS) - 1))
     }
 }
 
 impl AttemptId {
-    /// Rises without a write to the store and never repeats: terms never do.
+    /// Combines a term and the owner's counter of attempts under that term.
+    ///
+    /// The ids rise without a write to the store. They never repeat, because terms never do.
     pub fn of(term: Term, counter: u64) -> AttemptId {
         AttemptId((term.0 << EPOCH_BITS) + counter)
     }
 }
 
-/// Digits that a job's id has at most.
-const MAX_JOB_DIGITS: usize = 40;
+/// Largest number of digits in a job id.
+const MAX_JOB_ID_DIGITS: usize = 40;
 
 impl JobId {
-    /// `j-` and digits, as users choose them.
+    /// Returns whether the id has the required form: `j-` and 1 to 40 ASCII digits.
     pub fn is_well_formed(&self) -> bool {
         self.0.strip_prefix("j-").is_some_and(|digits| {
-            (1..=MAX_JOB_DIGITS).contains(&digits.len())
+            (1..=MAX_JOB_ID_DIGITS).contains(&digits.len())
                 && digits.bytes().all(|byte| byte.is_ascii_digit())
         })
     }
 }
 
-/// One task of a job, in the wire's form `j-000412/3`.
+/// The id of one task of a job, written in messages as `job/index`, for example `j-000412/3`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// Which of its tasks, from 0.
+    /// Index of the task within the job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Reads `job/index`.
-    pub fn parse(s: &str) -> Option<TaskId> {
-        let (job, index) = s.rsplit_once('/')?;
+    /// Parses `job/index`. Returns `None` if there is no `/` or if the index is not a number.
+    pub fn parse(text: &str) -> Option<TaskId> {
+        let (job, index) = text.rsplit_once('/')?;
         Some(TaskId {
             job: job.into(),
             index: index.parse().ok()?,
--- a/crates/rockdeal-types/src/lib.rs
+++ b/crates/rockdeal-types/src/lib.rs
@@ -1,4 +1,5 @@
-//! Identifiers and time: what every package of rockdeal names and measures alike.
+//! Types that all packages of rockdeal share: identifiers, time, and suggestions for misspelt
+//! names in error messages.
 
 pub mod clock;
 pub mod ids;
--- a/crates/rockdeal-types/tests/ids.rs
+++ b/crates/rockdeal-types/tests/ids.rs
@@ -1,19 +1,21 @@
-//! Identifiers, and the numbers that terms and epochs make up.
+//! Tests of the form of identifiers and of the order of fencing tokens.
 
 use rockdeal_types::ids::{FencingToken, JobId, TaskId, Term};
 
+/// Guards against workers that obey an earlier owner because of its high epoch.
 #[test]
-fn a_higher_term_beats_every_epoch_of_a_lower_one() {
+fn token_of_higher_term_exceeds_every_epoch_of_lower_term() {
     assert!(FencingToken::of(Term(4), 0) > FencingToken::of(Term(3), u64::MAX));
     assert!(FencingToken::of(Term(3), 1) > FencingToken::of(Term(3), 0));
 }
 
+/// Guards against malformed ids from users and workers that are taken as valid.
 #[test]
-fn ids_have_one_form() {
+fn malformed_job_and_task_ids_are_rejected() {
     assert!(JobId::from("j-000412").is_well_formed());
-    for bad in ["", "j-", "x-1", "j-1a", "j-1/2", "j- 1"] {
-        assert!(!JobId::from(bad).is_well_formed(), "{bad}");
+    for malformed in ["", "j-", "x-1", "j-1a", "j-1/2", "j- 1"] {
+        assert!(!JobId::from(malformed).is_well_formed(), "{malformed}");
     }
-    assert_eq!(TaskId::parse("j-1/7").map(|t| t.index), Some(7));
+    assert_eq!(TaskId::parse("j-1/7").map(|task| task.index), Some(7));
     assert_eq!(TaskId::parse("j-1"), None);
 }
