--- a/crates/zone-failover/src/evacuation.rs
+++ b/crates/zone-failover/src/evacuation.rs
@@ -1,5 +1,5 @@
-//! The evacuation of lost zones: the order of displaced work among all that waits, and the
-//! waves in which it may ask for machines elsewhere.
+//! The evacuation of lost zones: the order of displaced jobs among all waiting jobs, and the waves
+//! in which displaced jobs may request machines in other zones.
 
 use crate::record::ZoneRecord;
 use crate::settings::WaveSettings;
@@ -8,24 +8,25 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The place of a displaced job among the others, by the operators' expression.
+/// The priority of a displaced job, by which displaced jobs are ordered among each other.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EvacuationPriority {
-    /// Its wave has come: it goes before those whose has not, so that what was scaled out for a
-    /// wave is not taken by the next one.
+    /// Whether a wave has admitted the job. Admitted jobs go before the others, so that the
+    /// machines scaled out for one wave are not taken by jobs of the next.
     pub admitted: bool,
-    /// What the expression gives: higher goes first.
+    /// The value of the operators' expression `evacuation-priority`. Higher values go first.
     pub value: f64,
-    /// A service goes before other work of the same priority.
+    /// Whether the job is a service. Services go before other jobs of the same value.
     pub service: bool,
-    /// One task or several: arrays come after single tasks of the same priority.
+    /// Whether the job has several tasks. Such arrays go after jobs of a single task that are equal
+    /// otherwise.
     pub array: bool,
-    /// Time of day at which it was accepted: the oldest first.
+    /// Wall-clock time at which the job was accepted. Older jobs go first.
     pub accepted: Micros,
 }
 
 impl EvacuationPriority {
-    /// `Less`: goes first.
+    /// Compares two priorities. `Less` means that `self` goes first.
     pub fn order(&self, other: &EvacuationPriority) -> Ordering {
         other
             .admitted
@@ -37,54 +38,54 @@
     }
 }
 
-/// A waiting job in the order of its team.
+/// A waiting job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Waiting<T> {
     /// The job.
     pub job: T,
-    /// Its priority if it was displaced.
+    /// The priority of the job if it was displaced, else `None`.
     pub displaced: Option<EvacuationPriority>,
 }
 
-/// A displaced job with its place among all that wait: the first is the most urgent.
+/// A displaced job and its position in the team's order, in which 0 is the most urgent job.
 struct DisplacedEntry<T> {
-    urgency: usize,
+    position: usize,
     priority: EvacuationPriority,
     job: T,
 }
 
-/// Puts the displaced jobs of a team's order, most urgent first, into their stated order.
+/// Sorts the displaced jobs of a team by their evacuation priorities. `ordered` lists the waiting
+/// jobs of the team, the most urgent one first.
 ///
 /// - Jobs that are not displaced keep their order.
-/// - Displaced jobs are among each other in the order of their priorities; where those are
-///   alike, in the order in which they came.
-/// - No job that is not displaced comes after a displaced one that is less urgent, so
-///   urgent work never waits behind evacuated lower work.
-/// - Beyond that, displaced jobs come as early as they can.
+/// - Displaced jobs are sorted by priority. Jobs of equal priority keep their order.
+/// - A job that is not displaced stays before every displaced job that follows it in `ordered`, so
+///   that urgent work never waits behind evacuated work that is less urgent.
+/// - Within these rules, displaced jobs are placed as early as possible.
 pub fn merge_displaced<T>(ordered: Vec<Waiting<T>>) -> Vec<T> {
     if ordered.iter().all(|waiting| waiting.displaced.is_none()) {
         return ordered.into_iter().map(|waiting| waiting.job).collect();
     }
     let mut displaced: Vec<DisplacedEntry<T>> = Vec::new();
     let mut others: Vec<(usize, T)> = Vec::new();
-    for (urgency, waiting) in ordered.into_iter().enumerate() {
+    for (position, waiting) in ordered.into_iter().enumerate() {
         match waiting.displaced {
             Some(priority) => displaced.push(DisplacedEntry {
-                urgency,
+                position,
                 priority,
                 job: waiting.job,
             }),
-            None => others.push((urgency, waiting.job)),
+            None => others.push((position, waiting.job)),
         }
     }
     displaced.sort_by(|left, right| {
         let by_priority = left.priority.order(&right.priority);
-        by_priority.then(left.urgency.cmp(&right.urgency))
+        by_priority.then(left.position.cmp(&right.position))
     });
     let mut merged = Vec::with_capacity(displaced.len() + others.len());
     let mut others = others.into_iter().peekable();
-    for DisplacedEntry { urgency, job, .. } in displaced {
-        while let Some((_, more_urgent)) = others.next_if(|(other, _)| *other < urgency) {
+    for DisplacedEntry { position, job, .. } in displaced {
+        while let Some((_, more_urgent)) = others.next_if(|(other, _)| *other < position) {
             merged.push(more_urgent);
         }
         merged.push(job);
@@ -93,46 +94,49 @@
     merged
 }
 
-/// A silent machine of a lost zone that may be released.
+/// A machine of a lost zone whose heartbeats do not arrive.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SilentMachine {
-    /// The machine.
+    /// The id of the machine.
     pub id: MachineId,
-    /// The highest priority among the jobs that may run on it; none: it has no work.
+    /// The highest priority among the jobs that may run on the machine; `None` if it has no work.
     pub priority: Option<EvacuationPriority>,
 }
 
-/// A displaced job that asks for machines.
+/// A displaced job that waits for machines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DisplacedJob {
-    /// The job.
+    /// The id of the job.
     pub id: JobId,
-    /// Its place.
+    /// The priority of the job.
     pub priority: EvacuationPriority,
-    /// Tasks of it that wait.
+    /// Number of its tasks that wait.
     pub tasks: u32,
 }
 
-/// The evacuation of one loss of a zone, in one partition.
+/// The progress of the evacuation after one loss of a zone, in one partition.
 #[derive(Debug, Default)]
 struct Evacuation {
+    /// The epoch of the loss.
     epoch: u64,
-    /// The newest wave that was seen.
+    /// The newest wave that this owner has learned of.
     wave: u64,
-    /// Machines that may still be released.
-    machines: usize,
-    /// Displaced tasks that may still ask for machines.
-    tasks: u32,
+    /// Number of machines that may still be released in this wave.
+    remaining_machines: usize,
+    /// Number of displaced tasks that may still be admitted in this wave.
+    remaining_tasks: u32,
+    /// Machines that this and earlier waves have allowed to be released.
     released: BTreeSet<MachineId>,
+    /// Jobs that this and earlier waves have admitted.
     admitted: BTreeSet<JobId>,
 }
 
-/// The waves of a partition's owner.
+/// The evacuation waves as the owner of a partition carries them out.
 ///
-/// Each wave that the leader commits allows so many machines to be released and so many
-/// displaced tasks to ask for machines. An owner that has just failed over to the partition allows
-/// itself one wave, whatever number it finds: what was placed before does not wait any more,
-/// so it goes on where the one before stopped.
+/// Each wave that the leader commits allows the owner to release a limited number of silent
+/// machines and to admit a limited number of displaced tasks. An owner that has just taken over the
+/// partition allows itself a single wave, whatever wave number it reads. Jobs that the previous
+/// owner placed no longer wait, so the evacuation continues where the previous owner stopped.
 #[derive(Debug, Default)]
 pub struct Waves {
     settings: WaveSettings,
@@ -140,7 +144,7 @@
 }
 
 impl Waves {
-    /// No zone is lost.
+    /// Creates the waves while no zone is lost.
     pub fn new(settings: WaveSettings) -> Self {
         Waves {
             settings,
@@ -148,29 +152,33 @@
         }
     }
 
-    /// Takes in which zones are lost now.
+    /// Updates the evacuations to the zones that are lost now. Starts a new wave in every zone
+    /// whose wave number has risen.
     pub fn sync(&mut self, lost: &BTreeMap<ZoneId, ZoneRecord>) {
         self.evacuations.retain(|id, evacuation| {
-            // What belongs to an earlier loss is over.
+            // An evacuation after an earlier loss of the zone has ended.
             lost.get(id)
                 .is_some_and(|zone| zone.epoch == evacuation.epoch)
         });
         for (id, zone) in lost {
-            let new = Evacuation {
+            let new_evacuation = Evacuation {
                 epoch: zone.epoch,
                 ..Evacuation::default()
             };
-            let evacuation = self.evacuations.entry(id.clone()).or_insert(new);
+            let evacuation = self.evacuations.entry(id.clone()).or_insert(new_evacuation);
             if zone.wave > evacuation.wave {
                 evacuation.wave = zone.wave;
-                evacuation.machines = self.settings.machines;
-                evacuation.tasks = self.settings.tasks;
+                evacuation.remaining_machines = self.settings.machines;
+                evacuation.remaining_tasks = self.settings.tasks;
             }
         }
     }
 
-    /// Which silent machines of a lost zone may be released now: those of earlier waves
-    /// that are still there, and the most important ones up to this wave's number.
+    /// Returns the silent machines of a lost zone that may be released now.
+    ///
+    /// These are the machines of `silent` that were allowed earlier, and the machines of the
+    /// highest priority among the others, up to the limit of this wave. Empty if the zone is not
+    /// being evacuated.
     pub fn release(&mut self, zone: &ZoneId, mut silent: Vec<SilentMachine>) -> Vec<MachineId> {
         let Some(evacuation) = self.evacuations.get_mut(zone) else {
             return Vec::new();
@@ -183,11 +191,11 @@
         });
         let mut allowed = Vec::new();
         for machine in silent {
-            let known = evacuation.released.contains(&machine.id);
-            if !known && evacuation.machines > 0 {
-                evacuation.machines -= 1;
+            let already_allowed = evacuation.released.contains(&machine.id);
+            if !already_allowed && evacuation.remaining_machines > 0 {
+                evacuation.remaining_machines -= 1;
                 evacuation.released.insert(machine.id.clone());
-            } else if !known {
+            } else if !already_allowed {
                 continue;
             }
             allowed.push(machine.id);
@@ -195,8 +203,9 @@
         allowed
     }
 
-    /// Admits displaced jobs in their order, up to this wave's number of tasks. The last one
-    /// may go beyond it: a job is admitted whole.
+    /// Admits displaced jobs of a lost zone in the order of their priorities, up to the number of
+    /// tasks that this wave allows. The last job may exceed that number, because a job is admitted
+    /// whole.
     pub fn admit(&mut self, zone: &ZoneId, mut jobs: Vec<DisplacedJob>) {
         let Some(evacuation) = self.evacuations.get_mut(zone) else {
             return;
@@ -204,28 +213,29 @@
         jobs.retain(|job| !evacuation.admitted.contains(&job.id));
         jobs.sort_by(|left, right| left.priority.order(&right.priority));
         for job in jobs {
-            if evacuation.tasks == 0 {
+            if evacuation.remaining_tasks == 0 {
                 return;
             }
-            evacuation.tasks = evacuation.tasks.saturating_sub(job.tasks);
+            evacuation.remaining_tasks = evacuation.remaining_tasks.saturating_sub(job.tasks);
             evacuation.admitted.insert(job.id);
         }
     }
 
-    /// Whether a displaced job of that zone may ask for machines: it is admitted, or the
-    /// evacuation has ended.
+    /// Returns whether a job displaced from `zone` may request machines: it has been admitted, or
+    /// the zone is not being evacuated.
     pub fn is_admitted(&self, zone: &ZoneId, job: &JobId) -> bool {
         self.evacuations
             .get(zone)
             .is_none_or(|evacuation| evacuation.admitted.contains(job))
     }
 
-    /// Whether that zone is being evacuated.
+    /// Returns whether a zone is being evacuated.
     pub fn is_evacuating(&self, zone: &ZoneId) -> bool {
         self.evacuations.contains_key(zone)
     }
 
-    /// Whether a silent machine of a zone waits for a further wave.
+    /// Returns whether a silent machine must be retained until a further wave allows its release.
+    /// False if the zone is not being evacuated.
     pub fn is_held_back(&self, zone: &ZoneId, machine: &MachineId) -> bool {
         let evacuation = self.evacuations.get(zone);
         evacuation.is_some_and(|evacuation| !evacuation.released.contains(machine))
--- a/crates/zone-failover/src/evidence.rs
+++ b/crates/zone-failover/src/evidence.rs
@@ -1,4 +1,5 @@
-//! What each controller sees of the zones, and the sum of it at the leader.
+//! The evidence that every controller collects about the zones, and its combination at the
+//! leader.
 
 use crate::health::ZoneObservation;
 use rockdeal_types::clock::Micros;
@@ -6,63 +7,67 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What one controller sees of one zone.
+/// The counts that one controller observes for one zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneCounts {
-    /// The zone.
+    /// The zone that is counted.
     pub zone: ZoneId,
-    /// Machines of the controller's own partitions that have been up.
+    /// Number of machines in the partitions that the controller owns that have been up.
     pub machines: u32,
-    /// Those of them that are silent.
+    /// Number of those machines whose heartbeats do not arrive.
     pub silent: u32,
-    /// Other controllers in the zone.
+    /// Number of other controllers in the zone.
     pub peers: u32,
-    /// Those of them whose heartbeats do not arrive.
+    /// Number of those controllers whose heartbeats do not arrive.
     pub silent_peers: u32,
-    /// Displaced tasks and silent machines that wait for a further wave.
+    /// Number of displaced tasks and silent machines that wait for a further evacuation wave.
     pub waiting: u32,
 }
 
-/// What one controller sees of all zones, sent to its peers every so often.
+/// The evidence of one controller about all zones, which it sends to its peers in every gossip
+/// round.
 ///
-/// A controller that may be cut off itself sends no counts: its own isolation looks like
-/// the loss of every zone but its own.
+/// A controller that may itself be isolated sends no counts, because its isolation looks like the
+/// loss of every zone but its own.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneEvidence {
-    /// Who sends it.
+    /// The controller that sends the evidence.
     pub from: Label,
-    /// Which incarnation of it.
+    /// The incarnation of that controller.
     pub incarnation: Revision,
-    /// Rises with each message of this incarnation.
+    /// Sequence number, which rises with every message of this incarnation.
     pub sequence: u64,
-    /// The zones that it has evidence about.
+    /// The counts of every zone that the controller has evidence about.
     pub zones: Vec<ZoneCounts>,
 }
 
-/// Evidence older than this is ignored.
+/// Age at which evidence expires and is ignored.
 pub const EVIDENCE_TTL: Micros = Micros::from_millis(3_000);
 
+/// Evidence and the time at which it arrived.
 #[derive(Debug)]
 struct Received {
     at: Micros,
     evidence: ZoneEvidence,
 }
 
-/// The newest evidence of every controller.
+/// The newest evidence of every controller, by its label.
 #[derive(Debug, Default)]
 pub struct EvidenceTable {
     by_observer: BTreeMap<Label, Received>,
-    /// Messages that were older than what was known: late or repeated copies.
+    /// Number of messages that were dropped because they were not newer than the stored evidence.
     outdated: u64,
 }
 
 impl EvidenceTable {
-    /// Takes a message in, unless it is a late or repeated copy.
+    /// Stores the evidence of a message. Drops the message if it is delayed or a duplicate, that
+    /// is, not newer than the evidence already stored for its sender.
     pub fn receive(&mut self, now: Micros, evidence: ZoneEvidence) {
         let order = |evidence: &ZoneEvidence| (evidence.incarnation, evidence.sequence);
         let known = self.by_observer.get(&evidence.from);
         if known.is_some_and(|known| order(&known.evidence) >= order(&evidence)) {
-            // Guards against a copy that a cut held back: its zones may be up again.
+            // Guards against messages that a network partition delayed: the zones that they report
+            // as down may be up again.
             self.outdated += 1;
             return;
         }
@@ -71,26 +76,26 @@
             .insert(received.evidence.from.clone(), received);
     }
 
-    /// How many messages were dropped as late or repeated copies.
+    /// Returns how many messages were dropped as delayed or duplicate.
     pub fn outdated(&self) -> u64 {
         self.outdated
     }
 
-    /// What all controllers together see of each zone now.
+    /// Combines the evidence of all controllers that has not expired, by zone.
     pub fn observe(&self, now: Micros) -> BTreeMap<ZoneId, ZoneObservation> {
-        let mut all: BTreeMap<ZoneId, ZoneObservation> = BTreeMap::new();
+        let mut observations: BTreeMap<ZoneId, ZoneObservation> = BTreeMap::new();
         let fresh = self
             .by_observer
             .values()
             .filter(|received| now.since(received.at) < EVIDENCE_TTL);
         for counts in fresh.flat_map(|received| &received.evidence.zones) {
-            match all.get_mut(&counts.zone) {
+            match observations.get_mut(&counts.zone) {
                 Some(observation) => observation.add(counts),
                 None => {
-                    all.insert(counts.zone.clone(), ZoneObservation::of(counts));
+                    observations.insert(counts.zone.clone(), ZoneObservation::of(counts));
                 }
             }
         }
-        all
+        observations
     }
 }
--- a/crates/zone-failover/src/failback.rs
+++ b/crates/zone-failover/src/failback.rs
@@ -1,35 +1,41 @@
-//! Which running tasks are moved back after their zone has returned: only where more is gained
-//! than lost, only what can save or has not begun, and under a budget for each team.
+//! Selects the evacuated tasks to move back after their zone has recovered.
+//!
+//! A task is moved only if that gains sufficiently more than it costs, and only if the task can
+//! save a checkpoint or has not started yet. Each team has a budget of tasks that may be moved at
+//! the same time.
 
 use crate::settings::FailbackSettings;
 use std::collections::BTreeMap;
 
-/// A task of an evacuated job that runs, or is about to run, away from home.
+/// A task of an evacuated job that runs, or is about to run, outside its original zone.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EvacuatedTask<K> {
-    /// What the caller knows it by.
+    /// The caller's identifier of the task.
     pub key: K,
-    /// Its team's place in the settings.
+    /// Index of the task's team in the settings.
     pub team: usize,
-    /// It has begun to run.
+    /// Whether the task has started to run.
     pub begun: bool,
-    /// It can save what it has done.
+    /// Whether the task saves checkpoints.
     pub saves: bool,
-    /// What the rest of its run costs less at home, in money.
+    /// Amount of money by which the remaining run is cheaper in the original zone.
     pub gain: f64,
-    /// What moving it costs, in money: saving, starting again, work done twice.
+    /// Cost of the move in money: saving a checkpoint, starting again, and repeating lost work.
     pub loss: f64,
 }
 
 impl<K> EvacuatedTask<K> {
+    /// Returns whether the task keeps its progress when it is moved, and gains enough by the move.
     fn may_move(&self, settings: &FailbackSettings) -> bool {
-        let keeps_its_work = self.saves || !self.begun;
-        keeps_its_work && self.gain > 0.0 && self.gain >= settings.min_gain * self.loss
+        let keeps_progress = self.saves || !self.begun;
+        keeps_progress && self.gain > 0.0 && self.gain >= settings.min_gain * self.loss
     }
 }
 
-/// Chooses what to move now, the largest gain first. `moving` is how many tasks of each team
-/// are on their way already: they count against the team's budget.
+/// Selects the tasks to move now, in the order of their net gain, the largest first.
+///
+/// `moving` holds the number of tasks of each team that are already being moved. They count against
+/// the team's budget.
 pub fn choose<K>(
     tasks: Vec<EvacuatedTask<K>>,
     moving: &BTreeMap<usize, u32>,
@@ -44,12 +50,12 @@
         .collect();
     let net_gain = |task: &EvacuatedTask<K>| task.gain - task.loss;
     candidates.sort_by(|left, right| net_gain(right).total_cmp(&net_gain(left)));
-    let mut used = moving.clone();
+    let mut moving = moving.clone();
     let mut chosen = Vec::new();
     for task in candidates {
-        let of_team = used.entry(task.team).or_default();
-        if *of_team < settings.tasks_per_team {
-            *of_team += 1;
+        let moving_of_team = moving.entry(task.team).or_default();
+        if *moving_of_team < settings.tasks_per_team {
+            *moving_of_team += 1;
             chosen.push(task.key);
         }
     }
--- a/crates/zone-failover/src/health.rs
+++ b/crates/zone-failover/src/health.rs
@@ -1,41 +1,45 @@
-//! The health of one zone: hysteresis against short troubles, damping against flapping.
+//! The health of one zone: a state machine with hysteresis against short outages and damping
+//! against flapping.
 //!
 //! ```text
 //!            net downtime >= suspect_after    net downtime >= lost_after
 //!   Healthy ---------------------------> Suspect -------------------> Lost
 //!      ^  ^------------------------------------'                       |  ^
-//!      |          net downtime back to zero       up for return_after   |  | down for
-//!      |                                                               v  | suspect_after
+//!      |          net downtime back to zero       up for return_after   |  | net downtime
+//!      |                                                               v  | >= suspect_after
 //!      '---------------------------------------------------------- Probation
 //!                     up for the whole probation
 //! ```
 //!
-//! *Net downtime* is time spent down less time spent up, never below zero. A zone that is down
-//! half of the time or less so never gets lost, however fast it flaps, and one that is
-//! down most of the time does.
+//! *Net downtime* is the time spent down minus the time spent up, and never below zero. A zone
+//! whose outages are shorter than `lost_after`, and are each followed by at least as much time up,
+//! is therefore never lost, however fast it flaps. A zone that is down most of the time is lost
+//! eventually.
+//!
+//! Evidence makes a zone lost only while another zone could take its work.
 
 use crate::evidence::ZoneCounts;
 use crate::settings::HealthSettings;
 use rockdeal_types::clock::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What is seen of a zone, by all controllers together.
+/// The observations of one zone, combined over all controllers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ZoneObservation {
-    /// Machines that have been up.
+    /// Number of machines in the zone that have been up.
     pub machines: u32,
-    /// Those of them that are silent.
+    /// Number of those machines whose heartbeats do not arrive.
     pub silent: u32,
-    /// Controllers in the zone.
+    /// Number of controllers in the zone.
     pub peers: u32,
-    /// Those of them whose heartbeats reach no controller.
+    /// Number of those controllers whose heartbeats reach no other controller.
     pub silent_peers: u32,
-    /// Displaced tasks and silent machines that wait for a further wave.
+    /// Number of displaced tasks and silent machines that wait for a further evacuation wave.
     pub waiting: u32,
 }
 
 impl ZoneObservation {
-    /// What one controller sees.
+    /// Converts the counts of a single controller.
     pub fn of(counts: &ZoneCounts) -> Self {
         ZoneObservation {
             machines: counts.machines,
@@ -46,8 +50,12 @@
         }
     }
 
-    /// Adds what another controller sees. Each machine is in one controller's partitions; the
-    /// controllers of a zone are seen by all, and one whose frames reach any controller is alive.
+    /// Adds the counts of another controller.
+    ///
+    /// The counts of machines and waiting work are added, because every machine belongs to the
+    /// partitions of exactly one controller. The counts of peers are not added, because all
+    /// controllers observe the same peers. Their minimum is taken: a peer is alive if its frames
+    /// reach any controller.
     pub fn add(&mut self, counts: &ZoneCounts) {
         self.machines = self.machines.saturating_add(counts.machines);
         self.silent = self.silent.saturating_add(counts.silent);
@@ -56,14 +64,15 @@
         self.silent_peers = self.silent_peers.min(counts.silent_peers);
     }
 
-    /// What this says about the zone.
+    /// Derives the condition of the zone from the share of its machines that is silent.
     pub fn condition(&self, settings: &HealthSettings) -> Condition {
         if self.machines == 0 {
             return Condition::Unknown;
         }
         let share = f64::from(self.silent) / f64::from(self.machines);
         if self.machines < settings.min_machines {
-            // So few machines may fail by themselves: the zone's controllers must agree.
+            // A few machines may fail independently of the zone. The zone counts as down only if
+            // all its machines and all its controllers are silent.
             let peers_agree = self.peers > 0 && self.silent_peers == self.peers;
             return match (self.silent, share >= 1.0 && peers_agree) {
                 (0, _) => Condition::Up,
@@ -81,62 +90,73 @@
     }
 }
 
-/// What the evidence of one moment says about a zone.
+/// The condition of a zone at one moment, according to the evidence.
+///
+/// The shares apply to zones with at least `min_machines` machines. A smaller zone is up if none
+/// of its machines is silent, and down if all its machines and all its controllers are silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// Nothing, or too little for a decision.
+    /// There is no evidence, or too little to decide.
     Unknown,
-    /// The heartbeats of nearly all of its machines arrive.
+    /// The share of silent machines is at most `up_share`.
     Up,
-    /// Those of some arrive, those of others do not.
+    /// The share of silent machines is between `up_share` and `lost_share`.
     Partial,
-    /// Nearly none arrives.
+    /// The share of silent machines is at least `lost_share`.
     Down,
 }
 
-/// How a zone is used.
+/// The state of a zone, which determines how the zone is used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ZoneState {
-    /// As any other.
+    /// The zone is used without restrictions.
     #[default]
     Healthy,
-    /// It seems down: nothing is scaled out there, and none of its machines is released.
+    /// The zone seems to be down. Nothing is scaled out there, and its silent machines are retained
+    /// for a limited time.
     Suspect,
-    /// It is down: its work is moved elsewhere, in waves.
+    /// The zone is down. Its work is moved to other zones, in waves.
     Lost,
-    /// It seems to be back: it has to stay so for a while.
+    /// The zone is up again, and must stay up for the length of its probation to be healthy.
     Probation,
 }
 
 /// A change of a zone's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Transition {
-    /// The state before.
+    /// The previous state.
     pub from: ZoneState,
-    /// The state now.
+    /// The new state.
     pub to: ZoneState,
 }
 
-/// Time between two evaluations that counts at most: what happened meanwhile was not observed.
+/// Longest time between two evaluations that is added to the downtime or uptime. After a longer
+/// gap, the condition during most of the gap was not observed.
 const MAX_ELAPSED: Micros = Micros::from_millis(2_000);
 
-/// The health of one zone, as far as time and evidence go.
+/// The health of one zone, derived from evidence over time.
+///
+/// The epoch rises by one with every loss and never falls.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ZoneHealth {
     state: ZoneState,
-    /// Rises with each loss, so that what belongs to an earlier one is known.
+    /// Number of losses so far. Identifies the loss that an evacuation belongs to.
     epoch: u64,
-    /// Losses that count for the length of the probation.
+    /// Number of losses that lengthen the probation.
     relapses: u32,
-    /// Time spent down less time spent up.
+    /// Time spent down minus time spent up, at least zero.
     net_downtime: Micros,
-    /// Time spent up without a break.
+    /// Time spent up since the zone was last down or partly up. Starts anew when the zone enters a
+    /// state other than `Suspect`, and when `relapses` is reduced.
     continuous_uptime: Micros,
 }
 
 impl ZoneHealth {
-    /// As an earlier leader recorded it; `continuous_uptime` is how long it has been on probation.
+    /// Restores the health that an earlier leader recorded.
+    ///
+    /// `continuous_uptime` is the time for which the zone has been on probation, and zero in every
+    /// other state.
     pub fn resume(state: ZoneState, epoch: u64, relapses: u32, continuous_uptime: Micros) -> Self {
         ZoneHealth {
             state,
@@ -147,35 +167,39 @@
         }
     }
 
-    /// The state now.
+    /// Returns the current state.
     pub fn state(&self) -> ZoneState {
         self.state
     }
 
-    /// How often it has been lost.
+    /// Returns how often the zone has been lost.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Losses that count for the length of the probation.
+    /// Returns the number of losses that lengthen the probation.
     pub fn relapses(&self) -> u32 {
         self.relapses
     }
 
-    /// How long it has to stay up on probation: doubled by each loss, up to a bound.
+    /// Returns the time for which the zone must stay up on probation: `settings.probation`, doubled
+    /// by every loss after the first, and at most `settings.max_probation`.
     pub fn probation(&self, settings: &HealthSettings) -> Micros {
         let doublings = self.relapses.saturating_sub(1).min(u64::BITS - 1);
         let length = settings.probation.0.saturating_mul(1 << doublings);
         Micros(length).min(settings.max_probation)
     }
 
-    /// How long a zone on probation still has to stay up.
+    /// Returns the remaining probation of a zone on probation.
     pub fn probation_left(&self, settings: &HealthSettings) -> Micros {
         self.probation(settings).since(self.continuous_uptime)
     }
 
-    /// Takes in what is seen `elapsed` after the last evaluation. `may_be_lost` is false where no
-    /// other zone could take the work.
+    /// Evaluates the condition of the zone `elapsed` after the previous evaluation. Returns the
+    /// change of state, if there is one.
+    ///
+    /// `may_be_lost` is false if no other zone could take the work. The zone then does not become
+    /// lost.
     pub fn observe(
         &mut self,
         elapsed: Micros,
@@ -185,12 +209,12 @@
     ) -> Option<Transition> {
         self.accumulate(elapsed.min(MAX_ELAPSED), condition);
         let next = match self.state {
-            ZoneState::Healthy => self.next_of_healthy(settings),
-            ZoneState::Suspect => self.next_of_suspect(may_be_lost, settings),
+            ZoneState::Healthy => self.next_after_healthy(settings),
+            ZoneState::Suspect => self.next_after_suspect(may_be_lost, settings),
             ZoneState::Lost => {
                 (self.continuous_uptime >= settings.return_after).then_some(ZoneState::Probation)
             }
-            ZoneState::Probation => self.next_of_probation(may_be_lost, settings),
+            ZoneState::Probation => self.next_after_probation(may_be_lost, settings),
         };
         next.map(|to| self.enter(to))
     }
@@ -205,13 +229,13 @@
                 self.continuous_uptime = Micros::ZERO;
                 self.net_downtime = self.net_downtime + elapsed;
             }
-            // A zone of which half is gone is not back.
+            // A zone that is only partly up has not recovered, so its uptime starts anew.
             Condition::Partial => self.continuous_uptime = Micros::ZERO,
             Condition::Unknown => {}
         }
     }
 
-    fn next_of_healthy(&mut self, settings: &HealthSettings) -> Option<ZoneState> {
+    fn next_after_healthy(&mut self, settings: &HealthSettings) -> Option<ZoneState> {
         if self.net_downtime >= settings.suspect_after {
             return Some(ZoneState::Suspect);
         }
@@ -222,7 +246,11 @@
         None
     }
 
-    fn next_of_suspect(&self, may_be_lost: bool, settings: &HealthSettings) -> Option<ZoneState> {
+    fn next_after_suspect(
+        &self,
+        may_be_lost: bool,
+        settings: &HealthSettings,
+    ) -> Option<ZoneState> {
         if self.net_downtime == Micros::ZERO {
             Some(ZoneState::Healthy)
         } else if self.net_downtime >= settings.lost_after && may_be_lost {
@@ -232,7 +260,11 @@
         }
     }
 
-    fn next_of_probation(&self, may_be_lost: bool, settings: &HealthSettings) -> Option<ZoneState> {
+    fn next_after_probation(
+        &self,
+        may_be_lost: bool,
+        settings: &HealthSettings,
+    ) -> Option<ZoneState> {
         if self.net_downtime >= settings.suspect_after && may_be_lost {
             Some(ZoneState::Lost)
         } else if self.continuous_uptime >= self.probation(settings) {
@@ -242,7 +274,8 @@
         }
     }
 
-    /// An operator's declaration: it holds whatever the evidence says.
+    /// Sets the state that an operator has declared, regardless of the evidence. Returns the change
+    /// of state, if there is one.
     pub fn declare(&mut self, state: ZoneState) -> Option<Transition> {
         (self.state != state).then(|| self.enter(state))
     }
--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -1,19 +1,21 @@
-//! Zone failover: which zones are lost, in which order their work is moved elsewhere, and
-//! how it is brought back.
+//! Zone failover: detects lost zones, orders the evacuation of their work, and moves work back
+//! after a zone has recovered.
 //!
-//! The package has no socket, no store and reads no clock. Controllers feed its cores with
-//! evidence, records and the time, and carry out what comes back:
+//! The package opens no sockets, accesses no store and reads no clock. Controllers pass evidence,
+//! records and the time to its state machines, and carry out the effects that they return:
 //!
-//! - [`evidence`] collects what every controller sees of each zone;
-//! - [`health`] turns that into a state with hysteresis and flap damping;
-//! - [`leader`] keeps the states of all zones under one leadership and says when to commit
-//!   their [`record`];
-//! - [`view`] is what a controller may rely on of the committed record;
+//! - [`evidence`] collects the observations that all controllers make of each zone;
+//! - [`health`] derives the state of a zone from them, with hysteresis and flap damping;
+//! - [`leader`] holds the states of all zones on the leader and decides when to commit their
+//!   [`record`];
+//! - [`view`] gives every controller the committed states that it may act on;
 //! - [`evacuation`] orders displaced work and admits it in waves;
-//! - [`failback`] chooses running work to move back, inside a [`window`] of time.
+//! - [`failback`] selects running tasks to move back, which [`settings`] may restrict to a time
+//!   [`window`].
 //!
-//! Nothing here decides that a task has ended. That stays with leases, fencing tokens and the
-//! stored ends: a wrong opinion about a zone costs time, and never runs a task twice.
+//! Nothing in this package decides that a task has ended. Leases, fencing tokens and the stored
+//! ends of tasks decide that. A wrong decision about a zone therefore delays work, but never runs
+//! a task twice.
 
 pub mod evacuation;
 pub mod evidence;
--- a/crates/zone-failover/src/view.rs
+++ b/crates/zone-failover/src/view.rs
@@ -1,4 +1,6 @@
-//! What a controller may rely on of the committed zone record.
+//! The committed states of the zones, as far as a controller may act on them.
+//!
+//! A record counts while the leader that committed it leads, and for a limited time afterwards.
 
 use crate::health::ZoneState;
 use crate::record::{ZoneRecord, ZonesRecord};
@@ -6,24 +8,27 @@
 use rockdeal_types::ids::{Revision, ZoneId};
 use std::collections::BTreeMap;
 
-/// After a change of leader, the record of the one before counts for so long: the next one
-/// commits it anew with its first evaluation, if it has this subsystem on.
+/// Time for which a record counts after its leader has lost the leadership. If zone failover is
+/// enabled on the next leader, that leader commits the record anew with its first evaluation.
 const ORPHANED_RECORD_TTL: Micros = Micros::from_millis(10_000);
 
-/// The zones as this controller may rely on them.
+/// The states of the zones that this controller may act on.
 #[derive(Debug, Default)]
 pub struct ZoneView {
     record: Option<ZonesRecord>,
-    /// Since when the leader that committed it does not lead any more.
+    /// When this controller learned that the leader of the record no longer leads; `None` while
+    /// that leader leads, and if there is no record.
     orphaned_since: Option<Micros>,
 }
 
 impl ZoneView {
-    /// Takes in what was read of the store: the record, as far as it can be read, and the
-    /// revision of the leader's key, if there is a leader.
+    /// Updates the view with the contents of the store.
+    ///
+    /// `record` is `None` if there is no record or if it cannot be read. `leader` is the revision
+    /// of the leader's key, or `None` if there is no leader.
     pub fn sync(&mut self, now: Micros, record: Option<&ZonesRecord>, leader: Option<Revision>) {
-        let led = record.is_some_and(|record| Some(record.leader) == leader);
-        if led || record.is_none() {
+        let leader_still_leads = record.is_some_and(|record| Some(record.leader) == leader);
+        if leader_still_leads || record.is_none() {
             self.orphaned_since = None;
         } else {
             self.orphaned_since = self.orphaned_since.or(Some(now));
@@ -33,27 +38,29 @@
         }
     }
 
+    /// Returns the record if it counts at `now`.
     fn current(&self, now: Micros) -> Option<&ZonesRecord> {
-        // Guards against a zone that stays lost for ever: a leader without this subsystem,
-        // or of an earlier version, never takes the record back.
-        let counts = self
+        // Guards against a zone that stays lost for ever: a leader that has zone failover disabled,
+        // or runs an earlier version, never replaces the record.
+        let is_valid = self
             .orphaned_since
             .is_none_or(|since| now.since(since) < ORPHANED_RECORD_TTL);
-        self.record.as_ref().filter(|_| counts)
+        self.record.as_ref().filter(|_| is_valid)
     }
 
-    /// What is recorded of a zone, if it is not as at the start.
+    /// Returns the record of a zone. `None` means that the zone is healthy and was never lost, or
+    /// that no record counts.
     pub fn zone(&self, now: Micros, id: &ZoneId) -> Option<&ZoneRecord> {
         self.current(now)?.zones.get(id)
     }
 
-    /// The state of a zone.
+    /// Returns the state of a zone. A zone without a record is healthy.
     pub fn state(&self, now: Micros, id: &ZoneId) -> ZoneState {
         self.zone(now, id)
             .map_or(ZoneState::Healthy, |zone| zone.state)
     }
 
-    /// Zones that are not healthy, with what is recorded of them.
+    /// Returns the zones that are not healthy, with their records.
     pub fn troubled(&self, now: Micros) -> BTreeMap<ZoneId, ZoneRecord> {
         let zones = self
             .current(now)
@@ -65,7 +72,7 @@
             .collect()
     }
 
-    /// Zones that were lost and are healthy again, with what is recorded of them.
+    /// Returns the zones that were lost and are healthy again, with their records.
     pub fn returned(&self, now: Micros) -> BTreeMap<ZoneId, ZoneRecord> {
         let zones = self
             .current(now)
--- a/crates/zone-failover/tests/leader.rs
+++ b/crates/zone-failover/tests/leader.rs
@@ -408,7 +408,7 @@
         r#"{"version": 1, "leader": 4, "zones": {"x": {"state": "ill"}}}"#,
     ] {
         assert!(
-            matches!(read(damaged), Err(RecordError::Damaged(_))),
+            matches!(read(damaged), Err(RecordError::Malformed(_))),
             "{damaged}"
         );
     }
--- a/crates/zone-failover/tests/record.rs
+++ b/crates/zone-failover/tests/record.rs
@@ -45,6 +45,6 @@
     odd["zones"]["x"]["state"] = json!("asleep");
     assert!(matches!(
         ZonesRecord::read(&odd),
-        Err(RecordError::Damaged(_))
+        Err(RecordError::Malformed(_))
     ));
 }
