--- a/crates/zone-failover/src/settings/checks.rs
+++ b/crates/zone-failover/src/settings/checks.rs
@@ -1,4 +1,5 @@
-//! Checks of single settings: each names the setting, its value and the remedy.
+//! Checks that a single setting is in its allowed range. An error names the setting, its value,
+//! the allowed range, and the position in the file.
 
 use super::SettingsError;
 use super::file::Duration;
@@ -6,15 +7,15 @@
 use std::ops::{Range, RangeInclusive};
 use toml::Spanned;
 
-/// Refuses what stands at that place in the file.
+/// Returns the error for an invalid setting at `span`, which is in bytes of the file.
 pub(super) fn refuse<T>(
     span: Range<usize>,
-    why: impl Into<String>,
+    problem: impl Into<String>,
     remedy: impl Into<String>,
 ) -> Result<T, SettingsError> {
     Err(SettingsError {
         span,
-        why: why.into(),
+        problem: problem.into(),
         remedy: remedy.into(),
     })
 }
@@ -23,18 +24,23 @@
 pub(super) const ONE_MINUTE: Micros = Micros::from_millis(60_000);
 pub(super) const ONE_HOUR: Micros = Micros::from_millis(3_600_000);
 pub(super) const ONE_DAY: Micros = Micros::from_millis(24 * 3_600_000);
-/// Evidence comes every 0.7 s, so less than this says nothing.
+/// Shortest time in which a change of a zone can be detected. Controllers send evidence every 0.7
+/// s, so a shorter time would not be observed.
 pub(super) const MIN_DETECTION_TIME: Micros = Micros::from_millis(500);
-/// A job that waits longer beside a machine with room counts as left waiting.
+/// Longest `patience`. A job that waits longer than this while a machine has room for it counts as
+/// starved.
 pub(super) const MAX_PATIENCE: Micros = Micros::from_millis(60_000);
 
-/// A length of time for a message, in seconds.
-pub(super) fn text_of(time: Micros) -> String {
+/// Formats a duration in seconds, for error messages.
+pub(super) fn format_seconds(time: Micros) -> String {
     format!("{} s", time.as_secs())
 }
 
-/// A length of time, or its default, within what is allowed.
-pub(super) fn duration(
+/// Returns the given duration, or `default` if none is given.
+///
+/// # Errors
+/// The given duration is outside the allowed range.
+pub(super) fn duration_in_range(
     name: &str,
     given: &Option<Spanned<Duration>>,
     default: Micros,
@@ -45,19 +51,22 @@
     };
     let value = given.get_ref().0;
     if !allowed.contains(&value) {
-        let why = format!("{name} is {}", text_of(value));
+        let problem = format!("{name} is {}", format_seconds(value));
         let remedy = format!(
             "choose from {} to {}",
-            text_of(*allowed.start()),
-            text_of(*allowed.end())
+            format_seconds(*allowed.start()),
+            format_seconds(*allowed.end())
         );
-        return refuse(given.span(), why, remedy);
+        return refuse(given.span(), problem, remedy);
     }
     Ok(value)
 }
 
-/// A number, or its default, within what is allowed.
-pub(super) fn number<T: Copy + PartialOrd + std::fmt::Display>(
+/// Returns the given number, or `default` if none is given.
+///
+/// # Errors
+/// The given number is outside the allowed range.
+pub(super) fn number_in_range<T: Copy + PartialOrd + std::fmt::Display>(
     name: &str,
     given: &Option<Spanned<T>>,
     default: T,
@@ -67,20 +76,24 @@
         return Ok(default);
     };
     let value = *given.get_ref();
-    // NaN is in no range, so it is refused, too.
+    // NaN is in no range, so it is an error as well.
     if !allowed.contains(&value) {
-        let why = format!("{name} is {value}");
+        let problem = format!("{name} is {value}");
         return refuse(
             given.span(),
-            why,
+            problem,
             format!("choose from {} to {}", allowed.start(), allowed.end()),
         );
     }
     Ok(value)
 }
 
-/// The place of the first of two settings that is in the file.
-pub(super) fn span_of<T>(first: &Option<Spanned<T>>, second: &Option<Spanned<T>>) -> Range<usize> {
+/// Returns the position of the first of two settings, or of the second one if the first is not in
+/// the file. Returns the start of the file if neither is.
+pub(super) fn span_of_first_given<T>(
+    first: &Option<Spanned<T>>,
+    second: &Option<Spanned<T>>,
+) -> Range<usize> {
     let given = first.as_ref().or(second.as_ref());
     given.map_or(0..0, Spanned::span)
 }
--- a/crates/zone-failover/src/settings/file.rs
+++ b/crates/zone-failover/src/settings/file.rs
@@ -1,7 +1,9 @@
-//! The settings as they stand in the file: a table of a TOML file, checked as a whole and
-//! refused with a place and a remedy.
+//! The settings of zone failover as a table of a TOML file, and the checks that turn them into
+//! [`Settings`]. Every error names its position in the file and a remedy.
 
-use super::checks::{MIN_DETECTION_TIME, ONE_DAY, ONE_HOUR, ONE_SECOND, duration, number, refuse};
+use super::checks::{
+    MIN_DETECTION_TIME, ONE_DAY, ONE_HOUR, ONE_SECOND, duration_in_range, number_in_range, refuse,
+};
 use super::health::RawHealth;
 use super::windows::RawWindow;
 use super::{DeclaredState, FailbackSettings, Settings, SettingsError, Site, WaveSettings};
@@ -15,22 +17,22 @@
 use std::ops::Range;
 use toml::Spanned;
 
-/// A length of time, written with its unit.
+/// A duration that is written as a text with its unit.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(try_from = "String")]
 pub(super) struct Duration(pub(super) Micros);
 
-/// What to do about a length of time that is refused.
+/// Remedy in the error messages about an invalid duration.
 const DURATION_REMEDY: &str = "write a number with its unit, as in \"1500ms\", \"20s\" or \"5m\"";
 
-/// Why a text is refused as a length of time.
+/// The reason why a text is not a valid duration.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DurationError {
-    /// It has no number, no unit, or an unknown one.
-    #[error("{0:?} is no length of time; {DURATION_REMEDY}")]
+    /// The text has no number, no unit, or an unknown unit.
+    #[error("{0:?} is not a duration; {DURATION_REMEDY}")]
     Malformed(String),
-    /// Time does not run backwards.
-    #[error("{0:?} is negative; {DURATION_REMEDY}")]
+    /// The duration is negative.
+    #[error("duration {0:?} is negative; {DURATION_REMEDY}")]
     Negative(String),
 }
 
@@ -48,6 +50,7 @@
     }
 }
 
+/// The table `waves`.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 struct RawWaves {
@@ -56,6 +59,7 @@
     interval: Option<Spanned<Duration>>,
 }
 
+/// The table `return`.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 struct RawFailback {
@@ -68,6 +72,7 @@
     window: Vec<Spanned<RawWindow>>,
 }
 
+/// An entry of `declared`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 struct RawDeclared {
@@ -75,7 +80,7 @@
     state: Spanned<DeclaredState>,
 }
 
-/// The table as it stands in the file.
+/// The settings of zone failover as they are written in the file, not yet checked.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct RawSettings {
@@ -97,7 +102,7 @@
 impl RawWaves {
     fn check(&self) -> Result<WaveSettings, SettingsError> {
         let default = WaveSettings::default();
-        let machines = number(
+        let machines = number_in_range(
             "machines",
             &self.machines,
             default.machines as u32,
@@ -105,8 +110,8 @@
         )?;
         Ok(WaveSettings {
             machines: machines as usize,
-            tasks: number("tasks", &self.tasks, default.tasks, 1..=1_000_000)?,
-            interval: duration(
+            tasks: number_in_range("tasks", &self.tasks, default.tasks, 1..=1_000_000)?,
+            interval: duration_in_range(
                 "interval",
                 &self.interval,
                 default.interval,
@@ -126,32 +131,41 @@
             .collect();
         Ok(FailbackSettings {
             move_running: self.move_running.unwrap_or(default.move_running),
-            tasks_per_team: number(
+            tasks_per_team: number_in_range(
                 "tasks-per-team",
                 &self.tasks_per_team,
                 default.tasks_per_team,
                 1..=100_000,
             )?,
-            min_gain: number(
+            min_gain: number_in_range(
                 "least-gain",
                 &self.min_gain,
                 default.min_gain,
                 1.0..=1_000.0,
             )?,
-            period: duration("period", &self.period, default.period, ONE_SECOND..=ONE_DAY)?,
+            period: duration_in_range(
+                "period",
+                &self.period,
+                default.period,
+                ONE_SECOND..=ONE_DAY,
+            )?,
             windows: windows?,
         })
     }
 }
 
 impl RawSettings {
-    /// The operators' expression for the order of evacuation, with its place in the file.
+    /// Returns the operators' expression for the order of evacuation and its position in the file,
+    /// in bytes. `None` if the file has no such expression.
     pub fn evacuation_priority(&self) -> Option<(&str, Range<usize>)> {
         let expression = self.evacuation_priority.as_ref()?;
         Some((expression.get_ref(), expression.span()))
     }
 
-    /// Checks all that is set, whether the subsystem is on or not. None: it is off.
+    /// Checks all settings, also if zone failover is disabled. Returns `None` if it is disabled.
+    ///
+    /// # Errors
+    /// The first invalid setting.
     pub fn check(&self, site: &Site) -> Result<Option<Settings>, SettingsError> {
         let settings = Settings {
             health: self.health.check()?,
@@ -163,13 +177,17 @@
         Ok(self.enabled.then_some(settings))
     }
 
+    /// Checks that an objective of the site names every class.
     fn check_services(&self, site: &Site) -> Result<Vec<String>, SettingsError> {
         let mut services = Vec::new();
         for class in &self.services {
             if !site.classes.contains(class.get_ref()) {
                 return refuse(
                     class.span(),
-                    format!("class {:?} is in no objective", class.get_ref()),
+                    format!(
+                        "services: no objective of the settings file names class {:?}",
+                        class.get_ref()
+                    ),
                     nearest(class.get_ref(), site.classes.iter().map(String::as_str)),
                 );
             }
@@ -178,6 +196,8 @@
         Ok(services)
     }
 
+    /// Checks that the declared zones exist, that none is declared twice, and that at least one
+    /// zone is not declared out.
     fn check_declared(
         &self,
         site: &Site,
@@ -197,7 +217,7 @@
                 return refuse(
                     entry.zone.span(),
                     format!("zone {name:?} is declared twice"),
-                    "leave one of the two out",
+                    "remove one of the two declarations",
                 );
             }
         }
@@ -209,7 +229,11 @@
                 .declared
                 .last()
                 .map_or(0..0, |declaration| declaration.zone.span());
-            return refuse(last, "every zone is declared out", "leave one of them in");
+            return refuse(
+                last,
+                "every zone is declared out",
+                "remove at least one of the declarations, so that a zone can run work",
+            );
         }
         Ok(declared)
     }
--- a/crates/zone-failover/src/settings/health.rs
+++ b/crates/zone-failover/src/settings/health.rs
@@ -1,8 +1,9 @@
-//! The table of the file that says when a zone counts as lost, and when as back.
+//! The table `health` of the file: the durations and thresholds that determine when a zone is lost
+//! and when it has recovered.
 
 use super::checks::{
-    MAX_PATIENCE, MIN_DETECTION_TIME, ONE_DAY, ONE_HOUR, ONE_MINUTE, ONE_SECOND, duration, number,
-    refuse, span_of, text_of,
+    MAX_PATIENCE, MIN_DETECTION_TIME, ONE_DAY, ONE_HOUR, ONE_MINUTE, ONE_SECOND, duration_in_range,
+    format_seconds, number_in_range, refuse, span_of_first_given,
 };
 use super::file::Duration;
 use super::{HealthSettings, SettingsError};
@@ -10,6 +11,7 @@
 use serde::Deserialize;
 use toml::Spanned;
 
+/// The table `health` as it is written in the file, not yet checked.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub(super) struct RawHealth {
@@ -29,55 +31,56 @@
 }
 
 impl RawHealth {
+    /// Checks every setting in the table, and that they are consistent with each other.
     pub(super) fn check(&self) -> Result<HealthSettings, SettingsError> {
-        let with_times = self.check_times()?;
-        let health = self.check_shares(with_times)?;
-        self.check_together(&health)?;
+        let with_durations = self.check_durations()?;
+        let health = self.check_thresholds(with_durations)?;
+        self.check_consistency(&health)?;
         Ok(health)
     }
 
-    /// The defaults with the times that are given.
-    fn check_times(&self) -> Result<HealthSettings, SettingsError> {
+    /// Checks the given durations. Returns the default settings with these durations.
+    fn check_durations(&self) -> Result<HealthSettings, SettingsError> {
         let default = HealthSettings::default();
         Ok(HealthSettings {
-            suspect_after: duration(
+            suspect_after: duration_in_range(
                 "suspect-after",
                 &self.suspect_after,
                 default.suspect_after,
                 MIN_DETECTION_TIME..=ONE_MINUTE,
             )?,
-            lost_after: duration(
+            lost_after: duration_in_range(
                 "lost-after",
                 &self.lost_after,
                 default.lost_after,
                 ONE_SECOND..=ONE_HOUR,
             )?,
-            return_after: duration(
+            return_after: duration_in_range(
                 "return-after",
                 &self.return_after,
                 default.return_after,
                 MIN_DETECTION_TIME..=ONE_HOUR,
             )?,
-            probation: duration(
+            probation: duration_in_range(
                 "probation",
                 &self.probation,
                 default.probation,
                 ONE_SECOND..=ONE_DAY,
             )?,
-            max_probation: duration(
+            max_probation: duration_in_range(
                 "most-probation",
                 &self.max_probation,
                 default.max_probation,
                 ONE_SECOND..=ONE_DAY,
             )?,
-            quiet: duration("quiet", &self.quiet, default.quiet, ONE_SECOND..=ONE_DAY)?,
-            probe_after: duration(
+            quiet: duration_in_range("quiet", &self.quiet, default.quiet, ONE_SECOND..=ONE_DAY)?,
+            probe_after: duration_in_range(
                 "probe-after",
                 &self.probe_after,
                 default.probe_after,
                 ONE_SECOND..=ONE_DAY,
             )?,
-            patience: duration(
+            patience: duration_in_range(
                 "patience",
                 &self.patience,
                 default.patience,
@@ -87,17 +90,17 @@
         })
     }
 
-    /// The same with the shares and numbers that are given.
-    fn check_shares(&self, default: HealthSettings) -> Result<HealthSettings, SettingsError> {
+    /// Checks the given shares and numbers. Returns `default` with these values.
+    fn check_thresholds(&self, default: HealthSettings) -> Result<HealthSettings, SettingsError> {
         Ok(HealthSettings {
-            lost_share: number(
+            lost_share: number_in_range(
                 "lost-share",
                 &self.lost_share,
                 default.lost_share,
                 0.5..=1.0,
             )?,
-            up_share: number("up-share", &self.up_share, default.up_share, 0.0..=0.5)?,
-            min_machines: number(
+            up_share: number_in_range("up-share", &self.up_share, default.up_share, 0.0..=0.5)?,
+            min_machines: number_in_range(
                 "least-machines",
                 &self.min_machines,
                 default.min_machines,
@@ -107,34 +110,37 @@
         })
     }
 
-    /// What contradicts each other.
-    fn check_together(&self, health: &HealthSettings) -> Result<(), SettingsError> {
+    /// Checks that no two settings contradict each other. Takes defaults into account.
+    fn check_consistency(&self, health: &HealthSettings) -> Result<(), SettingsError> {
         if health.lost_after <= health.suspect_after {
             return refuse(
-                span_of(&self.lost_after, &self.suspect_after),
+                span_of_first_given(&self.lost_after, &self.suspect_after),
                 format!(
-                    "lost-after ({}) is not above suspect-after ({})",
-                    text_of(health.lost_after),
-                    text_of(health.suspect_after)
+                    "lost-after ({}) is not longer than suspect-after ({})",
+                    format_seconds(health.lost_after),
+                    format_seconds(health.suspect_after)
                 ),
-                "a zone is suspect first, so choose a longer lost-after",
+                "a zone must be suspect before it is lost, so choose a longer lost-after",
             );
         }
         if health.max_probation < health.probation {
             return refuse(
-                span_of(&self.max_probation, &self.probation),
+                span_of_first_given(&self.max_probation, &self.probation),
                 format!(
-                    "most-probation ({}) is below probation ({})",
-                    text_of(health.max_probation),
-                    text_of(health.probation)
+                    "most-probation ({}) is shorter than probation ({})",
+                    format_seconds(health.max_probation),
+                    format_seconds(health.probation)
                 ),
-                "choose at least as much",
+                "choose a most-probation that is at least as long as probation",
             );
         }
         if health.up_share >= health.lost_share {
             return refuse(
-                span_of(&self.up_share, &self.lost_share),
-                "up-share is not below lost-share",
+                span_of_first_given(&self.up_share, &self.lost_share),
+                format!(
+                    "up-share ({}) is not below lost-share ({})",
+                    health.up_share, health.lost_share
+                ),
                 "choose a smaller up-share",
             );
         }
--- a/crates/zone-failover/src/settings/mod.rs
+++ b/crates/zone-failover/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! The operators' settings of zone failover, checked. [`file`] reads and checks them.
+//! The checked settings of zone failover. [`RawSettings`] reads them from the operators' file and
+//! checks them.
 
 mod checks;
 mod file;
@@ -14,62 +15,65 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// What is wrong with the settings, where, and what to do about it.
+/// An invalid setting: its position, the problem, and the remedy.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{why}; {remedy}")]
+#[error("{problem}; {remedy}")]
 pub struct SettingsError {
-    /// The place in the file, in bytes.
+    /// Position in the file, in bytes.
     pub span: Range<usize>,
-    /// What is wrong.
-    pub why: String,
-    /// What to do about it.
+    /// The setting, the value that was found, and why it is invalid.
+    pub problem: String,
+    /// The change that makes the setting valid.
     pub remedy: String,
 }
 
-/// What is known of the site that the settings are for.
+/// The parts of the site's settings that the settings of zone failover refer to.
 #[derive(Debug, Clone, Default)]
 pub struct Site {
-    /// Its zones.
+    /// Names of the zones of the site.
     pub zones: Vec<String>,
-    /// The classes of jobs that its objectives name.
+    /// Classes of jobs that the service-level objectives of the site name.
     pub classes: Vec<String>,
 }
 
-/// What an operator says of a zone.
+/// The state of a zone that an operator declares.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DeclaredState {
-    /// Use it for nothing, whatever its machines say.
+    /// The zone is treated as lost, regardless of the evidence.
     Out,
-    /// Use it as any other, whatever its machines say.
+    /// The zone is treated as healthy, regardless of the evidence.
     In,
 }
 
-/// When a zone counts as lost, and when as back.
+/// The durations and thresholds that determine when a zone is lost and when it has recovered.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HealthSettings {
-    /// Time down before it is suspect.
+    /// Net downtime after which a zone is suspect.
     pub suspect_after: Micros,
-    /// Time down before it is lost.
+    /// Net downtime after which a suspect zone is lost.
     pub lost_after: Micros,
-    /// Time up before its probation begins.
+    /// Continuous uptime after which the probation of a lost zone begins.
     pub return_after: Micros,
-    /// The probation after a first loss.
+    /// Length of the probation after the first loss. Every further loss doubles it.
     pub probation: Micros,
-    /// The longest probation.
+    /// Longest probation.
     pub max_probation: Micros,
-    /// Time without a loss after which one loss less counts.
+    /// Continuous uptime of a healthy zone after which the number of losses that lengthen the
+    /// probation is reduced by one.
     pub quiet: Micros,
-    /// Time without any machine there before one is scaled out to see whether it is back.
+    /// Time without evidence from a zone after which one machine is scaled out there, to probe
+    /// whether the zone is up again.
     pub probe_after: Micros,
-    /// A job that has waited for so long may use a zone that is lost or on probation, where
-    /// heartbeats of a machine of it arrive.
+    /// Waiting time after which a job may use machines of zones that are lost or on probation,
+    /// provided that the heartbeats of these machines arrive.
     pub patience: Micros,
-    /// The share of silent machines from which on it is down.
+    /// Share of silent machines (0 to 1) from which on a zone is down.
     pub lost_share: f64,
-    /// The share of silent machines up to which it is up.
+    /// Share of silent machines (0 to 1) up to which a zone is up.
     pub up_share: f64,
-    /// With fewer machines, its controllers must be silent, too.
+    /// Number of machines from which on the shares apply. A zone with fewer machines is down only
+    /// if all its machines and all its controllers are silent.
     pub min_machines: u32,
 }
 
@@ -91,14 +95,14 @@
     }
 }
 
-/// What one wave of an evacuation allows, in each partition.
+/// The limits of one evacuation wave. They apply to each partition separately.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WaveSettings {
-    /// Silent machines that are released.
+    /// Number of silent machines that may be released.
     pub machines: usize,
-    /// Displaced tasks that may ask for machines.
+    /// Number of displaced tasks that may request machines.
     pub tasks: u32,
-    /// Between two waves.
+    /// Minimum time between the starts of two waves.
     pub interval: Micros,
 }
 
@@ -112,18 +116,18 @@
     }
 }
 
-/// How running work is moved back to its zone.
+/// The conditions under which running tasks are moved back to their original zone.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FailbackSettings {
-    /// Whether it is at all.
+    /// Whether running tasks are moved back at all.
     pub move_running: bool,
-    /// Tasks of a team that may be on their way at a time.
+    /// Number of tasks of a team that may be moved at the same time.
     pub tasks_per_team: u32,
-    /// What is gained must be so many times what is lost.
+    /// Smallest ratio of the gain of a move to its cost.
     pub min_gain: f64,
-    /// For so long after the zone's return.
+    /// Time after the recovery of a zone during which tasks are moved back there.
     pub period: Micros,
-    /// Only while one of these is open; none: at any time.
+    /// Windows in which tasks may be moved back. If there are none, they may be moved at any time.
     pub windows: Vec<ReturnWindow>,
 }
 
@@ -140,23 +144,24 @@
 }
 
 impl FailbackSettings {
-    /// Whether running work may be moved home at that time of day.
+    /// Returns whether running tasks may be moved back at `wall_clock`.
     pub fn is_open(&self, wall_clock: Micros) -> bool {
         self.windows.is_empty() || self.windows.iter().any(|window| window.is_open(wall_clock))
     }
 }
 
-/// The checked settings of this subsystem.
+/// The checked settings of zone failover.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
-    /// When a zone counts as lost, and when as back.
+    /// The durations and thresholds of zone health.
     pub health: HealthSettings,
-    /// What one wave allows.
+    /// The limits of one evacuation wave.
     pub waves: WaveSettings,
-    /// How running work is moved back to its zone.
+    /// The conditions for moving running tasks back.
     pub failback: FailbackSettings,
-    /// Classes whose jobs go before others of the same priority.
+    /// Classes of jobs that count as services. In an evacuation, services go before other jobs of
+    /// the same priority.
     pub services: Vec<String>,
-    /// What operators say of zones.
+    /// The states of zones that operators declare.
     pub declared: BTreeMap<ZoneId, DeclaredState>,
 }
--- a/crates/zone-failover/src/settings/windows.rs
+++ b/crates/zone-failover/src/settings/windows.rs
@@ -1,4 +1,4 @@
-//! The tables of the file that say when running work may be moved back.
+//! The tables `return.window` of the file: the times at which running work may be moved back.
 
 use super::SettingsError;
 use super::checks::refuse;
@@ -9,6 +9,7 @@
 use std::ops::Range;
 use toml::Spanned;
 
+/// A return window as it is written in the file, not yet checked.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub(super) struct RawWindow {
@@ -18,6 +19,7 @@
     to: Spanned<String>,
 }
 
+/// The days of the week by their names in the file.
 const DAYS: [(&str, Weekday); 7] = [
     ("monday", Weekday::Monday),
     ("tuesday", Weekday::Tuesday),
@@ -33,24 +35,25 @@
         Some((_, weekday)) => Ok(*weekday),
         None => refuse(
             name.span(),
-            format!("{:?} is no day of the week", name.get_ref()),
+            format!("{:?} is not a day of the week", name.get_ref()),
             nearest(name.get_ref(), DAYS.iter().map(|(day, _)| *day)),
         ),
     }
 }
 
-fn time(text: &Spanned<String>) -> Result<Time, SettingsError> {
+fn time_of_day(text: &Spanned<String>) -> Result<Time, SettingsError> {
     match Time::strptime("%H:%M", text.get_ref()) {
         Ok(time) => Ok(time),
         Err(_) => refuse(
             text.span(),
-            format!("{:?} is no time of the day", text.get_ref()),
-            "write it as \"22:30\"",
+            format!("{:?} is not a time of day", text.get_ref()),
+            "write hours and minutes, as in \"22:30\"",
         ),
     }
 }
 
 impl RawWindow {
+    /// Checks the window. `span` is the position of its table in the file.
     pub(super) fn check(&self, span: Range<usize>) -> Result<ReturnWindow, SettingsError> {
         let days: Vec<Weekday> = match &self.days {
             None => DAYS.iter().map(|(_, weekday)| *weekday).collect(),
@@ -60,18 +63,18 @@
                 .map(weekday)
                 .collect::<Result<_, _>>()?,
         };
-        let (from, to) = (time(&self.from)?, time(&self.to)?);
+        let (from, to) = (time_of_day(&self.from)?, time_of_day(&self.to)?);
         match ReturnWindow::new(self.time_zone.get_ref(), days, from, to) {
             Ok(window) => Ok(window),
             Err(error @ WindowError::UnknownTimeZone(_)) => refuse(
                 self.time_zone.span(),
                 error.to_string(),
-                "use a name of the IANA database, as in \"Australia/Hobart\"",
+                "use a name from the IANA time zone database, as in \"Australia/Hobart\"",
             ),
             Err(error @ WindowError::NeverOpen) => refuse(
                 span,
                 error.to_string(),
-                "name at least one day, and an end that differs from the beginning",
+                "list at least one day, and choose different times for from and to",
             ),
         }
     }
--- a/crates/zone-failover/tests/settings.rs
+++ b/crates/zone-failover/tests/settings.rs
@@ -47,11 +47,11 @@
         ),
         (
             "[health]\nlost-after = \"1s\"\nsuspect-after = \"2s\"",
-            "not above suspect-after",
+            "lost-after (1 s) is not longer than suspect-after (2 s)",
         ),
         (
             "[health]\nprobation = \"20m\"",
-            "most-probation (60 s) is below probation (1200 s)",
+            "most-probation (60 s) is shorter than probation (1200 s)",
         ),
         (
             "[health]\nlost-share = 1.5",
@@ -60,14 +60,14 @@
         ("[health]\nlost-share = nan", "lost-share is NaN"),
         (
             "[health]\nup-share = 0.5\nlost-share = 0.5",
-            "up-share is not below lost-share",
+            "up-share (0.5) is not below lost-share (0.5)",
         ),
         ("[health]\nleast-machines = -1", "invalid value"),
         ("[health]\npatience = \"2m\"", "choose from 0 s to 60 s"),
         ("[waves]\nmachines = 0", "choose from 1 to 10000"),
         (
             "services = [\"gauge-alert\"]",
-            "class \"gauge-alert\" is in no objective; did you mean gauge-alerts?",
+            "no objective of the settings file names class \"gauge-alert\"; did you mean gauge-alerts?",
         ),
         (
             "[[declared]]\nzone = \"huonville\"\nstate = \"out\"",
@@ -105,7 +105,7 @@
         ),
         (
             "time-zone = \"Australia/Hobart\", from = \"25:00\", to = \"05:00\"",
-            "write it as \"22:30\"",
+            "\"25:00\" is not a time of day; write hours and minutes, as in \"22:30\"",
         ),
         (
             "time-zone = \"Australia/Hobart\", from = \"22:00\", to = \"05:00\", days = [\"mondays\"]",
