--- a/crates/rockdeal-types/tests/ids.rs
+++ b/crates/rockdeal-types/tests/ids.rs
@@ -11,7 +11,7 @@
 
 /// Guards against malformed ids from users and workers that are taken as valid.
 #[test]
-fn malformed_job_and_task_ids_are_rejected() {
+fn only_well_formed_job_and_task_ids_are_accepted() {
     assert!(JobId::from("j-000412").is_well_formed());
     for malformed in ["", "j-", "x-1", "j-1a", "j-1/2", "j- 1"] {
         assert!(!JobId::from(malformed).is_well_formed(), "{malformed}");
--- a/crates/zone-failover/tests/common/mod.rs
+++ b/crates/zone-failover/tests/common/mod.rs
@@ -1,14 +1,16 @@
-//! How properties are tested: so many cases, or as many as `PROPTEST_CASES` says, and the
-//! seed of one that fails is kept beside the test.
+//! The configuration of property tests: the number of cases, and the file beside the test in which
+//! the seeds of failed cases are stored.
 
 use proptest::test_runner::{Config, FileFailurePersistence};
 
+/// Returns a configuration that runs `cases` cases, or the number of cases in the environment
+/// variable `PROPTEST_CASES` if it is set.
 pub fn cases(cases: u32) -> Config {
-    let chosen = std::env::var_os("PROPTEST_CASES").map(|_| Config::default().cases);
-    let kept = FileFailurePersistence::WithSource("regressions");
+    let from_environment = std::env::var_os("PROPTEST_CASES").map(|_| Config::default().cases);
+    let persistence = FileFailurePersistence::WithSource("regressions");
     Config {
-        cases: chosen.unwrap_or(cases),
-        failure_persistence: Some(Box::new(kept)),
+        cases: from_environment.unwrap_or(cases),
+        failure_persistence: Some(Box::new(persistence)),
         ..Config::default()
     }
 }
--- a/crates/zone-failover/tests/evacuation.rs
+++ b/crates/zone-failover/tests/evacuation.rs
@@ -1,4 +1,5 @@
-//! The order of displaced work and its waves, over random work.
+//! Tests of the order of displaced jobs, of the limits of evacuation waves, and of the selection of
+//! tasks to move back. Order and limits are checked for random jobs and machines.
 
 #![expect(clippy::expect_used, reason = "helpers of tests fail by panicking")]
 
@@ -38,63 +39,90 @@
     )
 }
 
+/// The position of a job in the merged order.
 fn position(merged: &[usize], job: usize) -> usize {
-    merged.iter().position(|j| *j == job).expect("merged")
+    merged
+        .iter()
+        .position(|merged_job| *merged_job == job)
+        .expect("every job is in the merged order")
 }
 
 proptest! {
     #![proptest_config(common::cases(400))]
 
+    /// Guards against lost or duplicated jobs, and against urgent jobs that wait behind less urgent
+    /// jobs because those were displaced.
     #[test]
-    fn the_merged_order_keeps_its_promises(
+    fn merge_sorts_displaced_jobs_without_delaying_more_urgent_jobs(
         jobs in prop::collection::vec(prop::option::of(any_priority()), 0..24),
     ) {
-        let waiting = jobs.iter().enumerate().map(|(job, displaced)| Waiting { job, displaced: *displaced });
+        let waiting = jobs.iter().enumerate().map(|(job, displaced)| Waiting {
+            job,
+            displaced: *displaced,
+        });
         let merged = merge_displaced(waiting.collect());
-        let mut all = merged.clone();
-        all.sort_unstable();
-        prop_assert_eq!(all, (0..jobs.len()).collect::<Vec<_>>(), "each job once");
-        for a in 0..jobs.len() {
-            for b in a + 1..jobs.len() {
-                let a_first = position(&merged, a) < position(&merged, b);
-                match (&jobs[a], &jobs[b]) {
-                    (None, None) => prop_assert!(a_first, "others keep their order"),
-                    (None, Some(_)) => prop_assert!(a_first, "urgent work waits behind evacuated lower work"),
-                    (Some(a), Some(b)) => prop_assert_eq!(a_first, a.order(b).is_le(), "the stated order"),
+        let mut merged_jobs = merged.clone();
+        merged_jobs.sort_unstable();
+        let all_jobs: Vec<usize> = (0..jobs.len()).collect();
+        prop_assert_eq!(merged_jobs, all_jobs, "each job is in the merged order exactly once");
+        for first in 0..jobs.len() {
+            for second in first + 1..jobs.len() {
+                let keeps_order = position(&merged, first) < position(&merged, second);
+                match (&jobs[first], &jobs[second]) {
+                    (None, None) => {
+                        prop_assert!(keeps_order, "jobs that are not displaced changed their order");
+                    }
+                    (None, Some(_)) => {
+                        prop_assert!(keeps_order, "an urgent job waits behind a less urgent one");
+                    }
+                    (Some(first), Some(second)) => prop_assert_eq!(
+                        keeps_order,
+                        first.order(second).is_le(),
+                        "displaced jobs are not sorted by priority"
+                    ),
                     (Some(_), None) => {}
                 }
             }
         }
     }
 
-    /// Whatever machines go silent, in whatever order owners check: at most a wave's number
-    /// is given up for each wave, and the most important ones first.
+    /// Guards against releasing more machines than the waves allow, which would happen if a
+    /// repeated check within one wave counted as a new wave, and against releasing machines in an
+    /// order other than that of their priorities.
     #[test]
-    fn waves_are_bounded_and_take_the_most_important_first(
+    fn waves_release_limited_machines_of_highest_priority_first(
         machines in prop::collection::vec(any_priority(), 1..60),
         size in 1..10_usize,
-        looks in 1..20_u64,
+        wave_count in 1..20_u64,
     ) {
         let mut waves = Waves::new(WaveSettings { machines: size, ..WaveSettings::default() });
         let silent: Vec<SilentMachine> = machines
             .iter()
             .enumerate()
-            .map(|(n, priority)| SilentMachine { id: format!("m-{n}").into(), priority: Some(*priority) })
+            .map(|(index, priority)| SilentMachine {
+                id: format!("m-{index}").into(),
+                priority: Some(*priority),
+            })
             .collect();
-        let mut given: Vec<MachineId> = Vec::new();
-        for wave in 1..=looks {
+        let mut released: Vec<MachineId> = Vec::new();
+        for wave in 1..=wave_count {
             waves.sync(&lost(wave));
-            let now = waves.release(&zone(), silent.clone());
-            prop_assert!(now.len() <= size * wave as usize);
-            // Asked again within the wave, it allows the same.
-            prop_assert_eq!(&waves.release(&zone(), silent.clone()), &now);
-            prop_assert!(given.iter().all(|id| now.contains(id)));
-            given = now;
+            let released_now = waves.release(&zone(), silent.clone());
+            prop_assert!(released_now.len() <= size * wave as usize);
+            // A second check within the same wave allows the same machines.
+            prop_assert_eq!(&waves.release(&zone(), silent.clone()), &released_now);
+            prop_assert!(released.iter().all(|id| released_now.contains(id)));
+            released = released_now;
         }
-        let priority_of = |id: &MachineId| silent.iter().find(|m| m.id == *id).and_then(|m| m.priority).expect("one");
-        for kept in silent.iter().filter(|m| !given.contains(&m.id)) {
-            for id in &given {
-                prop_assert!(priority_of(id).order(&priority_of(&kept.id)).is_le());
+        let priority_of = |id: &MachineId| {
+            let machine = silent.iter().find(|machine| machine.id == *id);
+            machine
+                .and_then(|machine| machine.priority)
+                .expect("every machine has a priority")
+        };
+        for retained in silent.iter().filter(|machine| !released.contains(&machine.id)) {
+            for id in &released {
+                prop_assert!(priority_of(id).order(&priority_of(&retained.id)).is_le());
             }
         }
     }
@@ -104,11 +132,13 @@
     "x".into()
 }
 
+/// The record of the first loss of the zone, at the given wave.
 fn lost(wave: u64) -> BTreeMap<ZoneId, ZoneRecord> {
-    lost_again(wave, 1)
+    lost_in_epoch(wave, 1)
 }
 
-fn lost_again(wave: u64, epoch: u64) -> BTreeMap<ZoneId, ZoneRecord> {
+/// The record of the loss with the given epoch, at the given wave.
+fn lost_in_epoch(wave: u64, epoch: u64) -> BTreeMap<ZoneId, ZoneRecord> {
     let record = ZoneRecord {
         state: ZoneState::Lost,
         epoch,
@@ -128,8 +158,10 @@
     }
 }
 
+/// Guards against displaced jobs that request machines all at once, or a second time after another
+/// loss of the zone without a new wave.
 #[test]
-fn displaced_work_asks_for_machines_wave_by_wave_in_its_order() {
+fn each_wave_admits_displaced_jobs_in_order_of_priority() {
     let mut waves = Waves::new(WaveSettings {
         tasks: 10,
         ..WaveSettings::default()
@@ -147,32 +179,45 @@
             .map(|id| waves.is_admitted(&zone(), &JobId::from(*id)))
             .collect()
     };
-    assert_eq!(admitted(&waves), [true; 3], "nothing is evacuated");
+    assert_eq!(
+        admitted(&waves),
+        [true; 3],
+        "the zone is not being evacuated"
+    );
     waves.sync(&lost(1));
     waves.admit(&zone(), jobs());
-    assert_eq!(admitted(&waves), [true, true, false], "whole jobs");
+    assert_eq!(
+        admitted(&waves),
+        [true, true, false],
+        "a job is admitted whole, beyond the 10 tasks of the wave"
+    );
     waves.sync(&lost(1));
     waves.admit(&zone(), jobs());
-    assert_eq!(admitted(&waves), [true, true, false], "the same wave");
+    assert_eq!(
+        admitted(&waves),
+        [true, true, false],
+        "the same wave admits no further job"
+    );
     waves.sync(&lost(2));
     waves.admit(&zone(), jobs());
     assert_eq!(admitted(&waves), [true; 3]);
-    // Lost once more: all begins anew.
-    waves.sync(&lost_again(1, 2));
+    // After another loss no job is admitted yet.
+    waves.sync(&lost_in_epoch(1, 2));
     assert_eq!(admitted(&waves), [false; 3]);
     waves.sync(&BTreeMap::new());
-    assert_eq!(admitted(&waves), [true; 3], "the zone is back");
+    assert_eq!(admitted(&waves), [true; 3], "the zone has recovered");
 }
 
-/// Guards against a burst after a failover: the number of the wave is no allowance.
+/// Guards against a burst of releases after a change of owner: a new owner that reads wave 40 must
+/// not release the machines of 40 waves at once.
 #[test]
-fn a_holder_that_finds_a_late_wave_allows_itself_one() {
+fn new_owner_allows_one_wave_whatever_the_wave_number() {
     let mut waves = Waves::new(WaveSettings {
         machines: 2,
         ..WaveSettings::default()
     });
     waves.sync(&lost(40));
-    let ids: Vec<MachineId> = (0..9).map(|n| format!("m-{n}").into()).collect();
+    let ids: Vec<MachineId> = (0..9).map(|index| format!("m-{index}").into()).collect();
     let silent = ids.iter().map(|id| SilentMachine {
         id: id.clone(),
         priority: None,
@@ -183,8 +228,10 @@
     assert_eq!(held_back.count(), 7);
 }
 
+/// Guards against an order of evacuation in which the tie-breakers take precedence over the value
+/// of the operators' expression, or are applied in the wrong order.
 #[test]
-fn services_go_before_arrays_of_like_priority_and_the_oldest_first() {
+fn equal_values_are_ordered_by_service_then_single_task_then_age() {
     let base = priority(1.0);
     let service = EvacuationPriority {
         service: true,
@@ -203,12 +250,14 @@
     assert_eq!(all, [service, base, later, array]);
     assert!(
         priority(2.0).order(&service).is_lt(),
-        "the expression comes first"
+        "the value of the expression takes precedence"
     );
 }
 
+/// Guards against moving tasks that would lose their progress, that gain too little, or that exceed
+/// the budget of their team.
 #[test]
-fn work_is_moved_home_only_by_gain_and_budget_and_if_it_keeps_what_it_has_done() {
+fn tasks_are_moved_back_only_with_kept_progress_sufficient_gain_and_budget() {
     let settings = FailbackSettings {
         move_running: true,
         tasks_per_team: 2,
@@ -231,9 +280,9 @@
         task("not worth it", 1, true, true, 1.4, 1.0),
         task("no gain", 2, true, true, 0.0, 0.0),
     ];
-    let none = BTreeMap::new();
+    let none_moving = BTreeMap::new();
     assert_eq!(
-        choose(tasks.clone(), &none, &settings),
+        choose(tasks.clone(), &none_moving, &settings),
         ["large gain", "not begun", "small gain"]
     );
     let moving = BTreeMap::from([(0, 1)]);
@@ -242,7 +291,7 @@
         ["large gain", "not begun"]
     );
     assert!(
-        choose(tasks, &none, &FailbackSettings::default()).is_empty(),
-        "off"
+        choose(tasks, &none_moving, &FailbackSettings::default()).is_empty(),
+        "moving running tasks is disabled by default"
     );
 }
--- a/crates/zone-failover/tests/leader.rs
+++ b/crates/zone-failover/tests/leader.rs
@@ -1,5 +1,8 @@
-//! Leaders that come and go over one store, in random histories: what is committed never
-//! goes back, and in the end says what is.
+//! Tests of the leader's state machine against a simulated store, and of the record that it
+//! commits.
+//!
+//! Random histories of outages, changes of leader, unanswered commits and delayed messages check
+//! that committed states never regress and finally match the actual states of the zones.
 
 mod common;
 
@@ -14,12 +17,15 @@
 use zone_failover::settings::{DeclaredState, Settings};
 use zone_failover::view::ZoneView;
 
+/// Simulated time between two evaluations.
 const STEP: Micros = Micros::from_millis(500);
 const ZONES: [&str; 3] = ["x", "y", "z"];
 
+/// The evidence of one controller about all zones. All machines of the zones in `down`, which holds
+/// indices of `ZONES`, are silent.
 fn evidence(from: &str, sequence: u64, down: &BTreeSet<usize>) -> ZoneEvidence {
-    let zones = ZONES.iter().enumerate().map(|(n, zone)| {
-        let silent = if down.contains(&n) { 10 } else { 0 };
+    let zones = ZONES.iter().enumerate().map(|(index, zone)| {
+        let silent = if down.contains(&index) { 10 } else { 0 };
         ZoneCounts {
             zone: ZoneId::from(*zone),
             machines: 10,
@@ -37,25 +43,31 @@
     }
 }
 
-/// A store with the leader's key and the record, and one controller that leads.
-struct World {
+/// A simulated store that holds the leader's key and the record, and the controller that leads.
+struct Simulation {
     now: Micros,
     settings: Settings,
     leader: ZoneLeader,
+    /// The revision of the leader's key.
     leader_key: u64,
+    /// The revision of the record.
     revision: u64,
     record: Option<ZonesRecord>,
+    /// The sequence number of the newest evidence.
     sequence: u64,
+    /// Indices of the zones that are down.
     down: BTreeSet<usize>,
-    /// Commits that had no answer, with the leader's key and record that they depend on.
-    late: Vec<(u64, u64, ZonesRecord)>,
+    /// Unanswered commits, with the revisions of the leader's key and of the record on which they
+    /// are conditional.
+    delayed_writes: Vec<(u64, u64, ZonesRecord)>,
+    /// Number of commits that were carried out.
     commits: u32,
 }
 
-impl World {
-    fn new(settings: Settings) -> World {
-        let zones = || ZONES.iter().map(|z| ZoneId::from(*z));
-        let mut world = World {
+impl Simulation {
+    fn new(settings: Settings) -> Simulation {
+        let zones = || ZONES.iter().map(|zone| ZoneId::from(*zone));
+        let mut simulation = Simulation {
             now: Micros::from_millis(1_000),
             leader: ZoneLeader::new(settings.clone(), zones()),
             settings,
@@ -64,17 +76,17 @@
             record: None,
             sequence: 0,
             down: BTreeSet::new(),
-            late: Vec::new(),
+            delayed_writes: Vec::new(),
             commits: 0,
         };
-        world.change_leader();
-        world
+        simulation.change_leader();
+        simulation
     }
 
-    /// The leader is gone at once, and another one, that knows nothing, begins to lead.
+    /// Replaces the leader by a new controller that knows only the record in the store.
     fn change_leader(&mut self) {
         self.leader_key += 1;
-        let zones = ZONES.iter().map(|z| ZoneId::from(*z));
+        let zones = ZONES.iter().map(|zone| ZoneId::from(*zone));
         self.leader = ZoneLeader::new(self.settings.clone(), zones);
         let message = Message::Leading {
             leader: Revision(self.leader_key),
@@ -83,18 +95,21 @@
         self.leader.handle(self.now, self.now, message);
     }
 
-    /// A conditional write, as the store carries it out.
+    /// Carries out a conditional write in the store. Returns false if a condition does not hold.
     fn write(&mut self, leader_key: u64, revision: u64, record: ZonesRecord) -> bool {
         if leader_key != self.leader_key || revision != self.revision {
             return false;
         }
         if let Some(before) = &self.record {
-            check_progress(before, &record);
+            assert_no_regression(before, &record);
         }
-        let all_lost = record.zones.values().filter(|z| z.state == ZoneState::Lost);
+        let lost = record
+            .zones
+            .values()
+            .filter(|zone| zone.state == ZoneState::Lost);
         assert!(
-            all_lost.count() < ZONES.len(),
-            "every zone is lost: {record:?}"
+            lost.count() < ZONES.len(),
+            "every zone was committed as lost: {record:?}"
         );
         self.revision += 1;
         self.commits += 1;
@@ -102,6 +117,7 @@
         true
     }
 
+    /// Runs one evaluation. If `answered` is false, its commit is neither carried out nor answered.
     fn step(&mut self, answered: bool) {
         self.now = self.now + STEP;
         self.sequence += 1;
@@ -109,7 +125,8 @@
         self.leader.handle(self.now, self.now, message);
         for Effect::Commit(record) in self.leader.handle(self.now, self.now, Message::Tick) {
             if !answered {
-                self.late.push((self.leader_key, self.revision, record));
+                self.delayed_writes
+                    .push((self.leader_key, self.revision, record));
                 continue;
             }
             let done = self.write(self.leader_key, self.revision, record);
@@ -118,42 +135,53 @@
         }
     }
 
-    fn pass(&mut self, seconds: u64) {
+    /// Runs the evaluations of some seconds, all with answered commits.
+    fn run_seconds(&mut self, seconds: u64) {
         for _ in 0..2 * seconds {
             self.step(true);
         }
     }
 
+    /// The committed state of a zone.
     fn state(&self, zone: &str) -> ZoneState {
-        let zones = self.record.as_ref().map(|r| &r.zones);
+        let zones = self.record.as_ref().map(|record| &record.zones);
         zones
-            .and_then(|z| z.get(zone))
-            .map_or(ZoneState::Healthy, |z| z.state)
+            .and_then(|zones| zones.get(zone))
+            .map_or(ZoneState::Healthy, |zone| zone.state)
     }
 }
 
-/// A loss is never forgotten, epochs never fall, and waves not within one.
-fn check_progress(before: &ZonesRecord, after: &ZonesRecord) {
+/// Checks that a new record keeps every loss, that no epoch falls, and that no wave number falls
+/// within one loss.
+fn assert_no_regression(before: &ZonesRecord, after: &ZonesRecord) {
     for (id, old) in before.zones.iter().filter(|(_, old)| old.epoch > 0) {
         let new = after.zones.get(id);
-        let new = new.unwrap_or_else(|| panic!("{id} is forgotten: {after:?}"));
-        assert!(new.epoch >= old.epoch, "{old:?} {new:?}");
+        let new = new.unwrap_or_else(|| panic!("the loss of {id} is missing: {after:?}"));
+        assert!(new.epoch >= old.epoch, "epoch fell: {old:?} {new:?}");
         let same_loss = new.epoch == old.epoch && new.state == old.state;
-        assert!(!same_loss || new.wave >= old.wave, "{old:?} {new:?}");
+        assert!(
+            !same_loss || new.wave >= old.wave,
+            "wave fell: {old:?} {new:?}"
+        );
     }
 }
 
+/// An event of a random history. The stored regressions name the variants.
 #[derive(Debug, Clone)]
 enum Event {
+    /// The zone with this index goes down.
     Down(usize),
+    /// The zone with this index comes up.
     Up(usize),
+    /// This number of seconds passes.
     Pass(u64),
-    /// Commits get no answer for so many looks.
+    /// Commits are not answered during this number of evaluations.
     Unanswered(u64),
-    /// Those commits are carried out now.
+    /// The store carries out all commits that were not answered.
     LateWrites,
+    /// Another controller becomes the leader.
     LeaderChange,
-    /// An old message comes again.
+    /// Evidence arrives that is older than the newest by this number of messages.
     LateEvidence(u64),
 }
 
@@ -172,180 +200,226 @@
 proptest! {
     #![proptest_config(common::cases(300))]
 
+    /// Guards against committed states that regress, or never reach the actual states, after
+    /// changes of leader, unanswered commits, late writes and delayed evidence.
     #[test]
-    fn what_is_committed_never_goes_back_and_in_the_end_says_what_is(
+    fn committed_states_never_regress_and_converge_to_actual_states(
         events in prop::collection::vec(event(), 1..60),
     ) {
-        let mut world = World::new(Settings::default());
+        let mut simulation = Simulation::new(Settings::default());
         for event in events {
             match event {
-                Event::Down(zone) => { world.down.insert(zone); }
-                Event::Up(zone) => { world.down.remove(&zone); }
-                Event::Pass(seconds) => world.pass(seconds),
-                Event::Unanswered(looks) => (0..looks).for_each(|_| world.step(false)),
+                Event::Down(zone) => { simulation.down.insert(zone); }
+                Event::Up(zone) => { simulation.down.remove(&zone); }
+                Event::Pass(seconds) => simulation.run_seconds(seconds),
+                Event::Unanswered(evaluations) => {
+                    (0..evaluations).for_each(|_| simulation.step(false));
+                }
                 Event::LateWrites => {
-                    for (leader_key, revision, record) in std::mem::take(&mut world.late) {
-                        world.write(leader_key, revision, record);
+                    let delayed_writes = std::mem::take(&mut simulation.delayed_writes);
+                    for (leader_key, revision, record) in delayed_writes {
+                        simulation.write(leader_key, revision, record);
                     }
                 }
-                Event::LeaderChange => world.change_leader(),
+                Event::LeaderChange => simulation.change_leader(),
                 Event::LateEvidence(ago) => {
-                    let late = evidence("c0", world.sequence.saturating_sub(ago), &BTreeSet::from([0, 1]));
-                    world.leader.handle(world.now, world.now, Message::Evidence(late));
+                    let sequence = simulation.sequence.saturating_sub(ago);
+                    let late = evidence("c0", sequence, &BTreeSet::from([0, 1]));
+                    let now = simulation.now;
+                    simulation.leader.handle(now, now, Message::Evidence(late));
                 }
             }
         }
-        // Everything is back: so is the record, after the longest probation.
-        world.down.clear();
-        world.pass(400);
-        prop_assert!(ZONES.iter().all(|z| world.state(z) == ZoneState::Healthy), "{:?}", world.record);
-        // And what is down is lost, as long as another zone could take the work.
-        world.down.insert(1);
-        world.pass(15);
-        prop_assert_eq!(world.state("y"), ZoneState::Lost);
+        // After all zones have been up for the longest probation, the record shows them healthy.
+        simulation.down.clear();
+        simulation.run_seconds(400);
+        prop_assert!(
+            ZONES.iter().all(|zone| simulation.state(zone) == ZoneState::Healthy),
+            "a zone has not recovered: {:?}",
+            simulation.record
+        );
+        // A zone that goes down is lost, because other zones can take its work.
+        simulation.down.insert(1);
+        simulation.run_seconds(15);
+        prop_assert_eq!(simulation.state("y"), ZoneState::Lost);
     }
 }
 
+/// Guards against commits that write an unchanged record again and again.
 #[test]
-fn nothing_is_committed_while_nothing_happens() {
-    let mut world = World::new(Settings::default());
-    world.pass(120);
-    assert_eq!(world.commits, 0);
+fn healthy_zones_cause_no_commit() {
+    let mut simulation = Simulation::new(Settings::default());
+    simulation.run_seconds(120);
+    assert_eq!(simulation.commits, 0);
 }
 
-/// Found by the random histories: the state was never asked for again.
+/// Guards against a leader that waits for ever for the answer to a lost commit, so that followers
+/// never learn of the state. The random histories found this fault.
 #[test]
-fn a_commit_without_an_answer_is_asked_for_again() {
-    let mut world = World::new(Settings::default());
-    world.down.insert(0);
-    (0..20).for_each(|_| world.step(false));
-    assert_eq!(world.state("x"), ZoneState::Healthy);
-    world.pass(8);
-    assert_eq!(world.state("x"), ZoneState::Lost);
+fn unanswered_commit_is_requested_again() {
+    let mut simulation = Simulation::new(Settings::default());
+    simulation.down.insert(0);
+    (0..20).for_each(|_| simulation.step(false));
+    assert_eq!(simulation.state("x"), ZoneState::Healthy);
+    simulation.run_seconds(8);
+    assert_eq!(simulation.state("x"), ZoneState::Lost);
 }
 
+/// Guards against a new leader that forgets a loss, starts its waves anew, or starts the probation
+/// anew, in which case frequent changes of leader would keep a zone out of use.
 #[test]
-fn a_change_of_leader_goes_on_from_the_record_in_each_state() {
-    let mut world = World::new(Settings::default());
-    world.down.insert(0);
-    world.pass(12);
-    let epoch = |w: &World| {
-        w.record
+fn new_leader_continues_from_committed_lost_and_probation_states() {
+    let mut simulation = Simulation::new(Settings::default());
+    simulation.down.insert(0);
+    simulation.run_seconds(12);
+    let epoch_and_wave = |simulation: &Simulation| {
+        simulation
+            .record
             .as_ref()
-            .map(|r| (r.zones["x"].epoch, r.zones["x"].wave))
+            .map(|record| (record.zones["x"].epoch, record.zones["x"].wave))
     };
-    assert_eq!(world.state("x"), ZoneState::Lost);
-    let (_, wave) = epoch(&world).expect("recorded");
-    assert!(wave > 1, "waves go on while something waits");
-    world.change_leader();
-    world.pass(4);
-    assert_eq!(world.state("x"), ZoneState::Lost);
-    assert!(epoch(&world).expect("recorded").1 >= wave);
+    assert_eq!(simulation.state("x"), ZoneState::Lost);
+    let (_, wave) = epoch_and_wave(&simulation).expect("a record");
+    assert!(wave > 1, "further waves start while work waits");
+    simulation.change_leader();
+    simulation.run_seconds(4);
+    assert_eq!(simulation.state("x"), ZoneState::Lost);
+    assert!(epoch_and_wave(&simulation).expect("a record").1 >= wave);
     assert_eq!(
-        world.record.as_ref().map(|r| r.leader),
+        simulation.record.as_ref().map(|record| record.leader),
         Some(Revision(2)),
-        "the new leader stands by it"
+        "the new leader commits the record again"
     );
-    world.down.clear();
-    world.pass(5);
-    assert_eq!(world.state("x"), ZoneState::Probation);
-    // Six seconds under each of two leaders are more than the ten of the probation.
-    world.change_leader();
-    world.pass(6);
-    world.change_leader();
-    world.pass(6);
-    assert_eq!(world.state("x"), ZoneState::Healthy);
+    simulation.down.clear();
+    simulation.run_seconds(5);
+    assert_eq!(simulation.state("x"), ZoneState::Probation);
+    // Six seconds under each of two leaders exceed the probation of ten seconds.
+    simulation.change_leader();
+    simulation.run_seconds(6);
+    simulation.change_leader();
+    simulation.run_seconds(6);
+    assert_eq!(simulation.state("x"), ZoneState::Healthy);
 }
 
+/// Guards against evacuating all zones: at once, which is more likely a fault of the observers, or
+/// one after the other until no zone is left.
 #[test]
-fn all_zones_at_once_are_a_fault_of_the_observers() {
-    let mut world = World::new(Settings::default());
-    world.down.extend([0, 1, 2]);
-    world.pass(60);
-    assert_eq!(world.commits, 0);
-    // One after the other, the last one stays.
-    world.down.remove(&2);
-    world.pass(20);
-    world.down.insert(2);
-    world.pass(60);
-    assert_eq!(world.state("x"), ZoneState::Lost);
-    assert_ne!(world.state("z"), ZoneState::Lost);
+fn all_zones_are_never_lost_together() {
+    let mut simulation = Simulation::new(Settings::default());
+    simulation.down.extend([0, 1, 2]);
+    simulation.run_seconds(60);
+    assert_eq!(simulation.commits, 0);
+    // If two zones are lost first, the third one is not lost when it goes down as well.
+    simulation.down.remove(&2);
+    simulation.run_seconds(20);
+    simulation.down.insert(2);
+    simulation.run_seconds(60);
+    assert_eq!(simulation.state("x"), ZoneState::Lost);
+    assert_ne!(simulation.state("z"), ZoneState::Lost);
 }
 
+/// Guards against evidence that overrides the state that an operator declares.
 #[test]
-fn an_operators_word_wins_over_the_evidence() {
+fn declared_state_overrides_evidence() {
     let declare = |state| Settings {
         declared: BTreeMap::from([("x".into(), state)]),
         ..Settings::default()
     };
-    let mut world = World::new(declare(DeclaredState::Out));
-    world.pass(60);
+    let mut simulation = Simulation::new(declare(DeclaredState::Out));
+    simulation.run_seconds(60);
     assert_eq!(
-        world.state("x"),
+        simulation.state("x"),
         ZoneState::Lost,
-        "though all its machines are heard"
+        "a zone declared out is lost although all its machines are up"
     );
     assert_eq!(
-        world.leader.scale_out_access(world.now, &"x".into()),
+        simulation
+            .leader
+            .scale_out_access(simulation.now, &"x".into()),
         ScaleOutAccess::Closed,
-        "no probe"
+        "a zone declared out is not probed"
+    );
+    let mut simulation = Simulation::new(declare(DeclaredState::In));
+    simulation.down.insert(0);
+    simulation.run_seconds(60);
+    assert_eq!(
+        simulation.state("x"),
+        ZoneState::Healthy,
+        "a zone declared in is healthy although all its machines are silent"
     );
-    let mut world = World::new(declare(DeclaredState::In));
-    world.down.insert(0);
-    world.pass(60);
-    assert_eq!(world.state("x"), ZoneState::Healthy, "though none is heard");
 }
 
+/// Guards against a zone that stays suspect or lost for ever: after all its machines have been
+/// released, only a probe machine can provide evidence that it is up again.
 #[test]
-fn a_troubled_zone_without_any_machine_is_probed_now_and_then() {
+fn unhealthy_zone_without_machines_is_probed_one_machine_at_a_time() {
     for (seconds, state) in [(4, ZoneState::Suspect), (12, ZoneState::Lost)] {
-        let mut world = World::new(Settings::default());
-        world.down.insert(0);
-        world.pass(seconds);
-        assert_eq!(world.state("x"), state);
-        let access = |w: &World| w.leader.scale_out_access(w.now, &"x".into());
-        assert_eq!(access(&world), ScaleOutAccess::Closed);
-        // All its machines are lost: nobody has evidence about it.
-        let silent = |world: &mut World| {
-            world.sequence += 1;
-            let mut nothing = evidence("c0", world.sequence, &BTreeSet::new());
-            nothing.zones.clear();
-            let now = world.now;
-            world.leader.handle(now, now, Message::Evidence(nothing));
+        let mut simulation = Simulation::new(Settings::default());
+        simulation.down.insert(0);
+        simulation.run_seconds(seconds);
+        assert_eq!(simulation.state("x"), state);
+        let access = |simulation: &Simulation| {
+            simulation
+                .leader
+                .scale_out_access(simulation.now, &"x".into())
+        };
+        assert_eq!(access(&simulation), ScaleOutAccess::Closed);
+        // No controller has evidence about the zone, because it has no machine left.
+        let run_without_evidence = |simulation: &mut Simulation| {
+            simulation.sequence += 1;
+            let mut without_zones = evidence("c0", simulation.sequence, &BTreeSet::new());
+            without_zones.zones.clear();
+            let now = simulation.now;
+            simulation
+                .leader
+                .handle(now, now, Message::Evidence(without_zones));
             for _ in 0..150 {
-                world.now = world.now + STEP;
-                world.leader.handle(world.now, world.now, Message::Tick);
+                simulation.now = simulation.now + STEP;
+                simulation
+                    .leader
+                    .handle(simulation.now, simulation.now, Message::Tick);
             }
         };
-        silent(&mut world);
-        assert_eq!(access(&world), ScaleOutAccess::Probe);
-        let now = world.now;
-        world.leader.record_probe(now, &"x".into());
-        assert_eq!(access(&world), ScaleOutAccess::Closed, "one at a time");
-        silent(&mut world);
-        assert_eq!(access(&world), ScaleOutAccess::Probe);
+        run_without_evidence(&mut simulation);
+        assert_eq!(access(&simulation), ScaleOutAccess::Probe);
+        let now = simulation.now;
+        simulation.leader.record_probe(now, &"x".into());
+        assert_eq!(
+            access(&simulation),
+            ScaleOutAccess::Closed,
+            "one probe at a time"
+        );
+        run_without_evidence(&mut simulation);
+        assert_eq!(access(&simulation), ScaleOutAccess::Probe);
     }
 }
 
+/// Guards against a zone that has no machines when its probation ends, and against scale-outs long
+/// before that.
 #[test]
-fn machines_are_rented_before_a_probation_ends_and_no_sooner() {
+fn scale_out_opens_shortly_before_probation_ends() {
     let mut settings = Settings::default();
     settings.health.probation = Micros::from_millis(40_000);
-    let mut world = World::new(settings);
-    world.down.insert(0);
-    world.pass(12);
-    world.down.clear();
-    world.pass(5);
-    let access = |w: &World| w.leader.scale_out_access(w.now, &"x".into());
-    assert_eq!(world.state("x"), ZoneState::Probation);
-    assert_eq!(access(&world), ScaleOutAccess::Closed);
-    world.pass(20);
-    assert_eq!(world.state("x"), ZoneState::Probation);
-    assert_eq!(access(&world), ScaleOutAccess::Open);
+    let mut simulation = Simulation::new(settings);
+    simulation.down.insert(0);
+    simulation.run_seconds(12);
+    simulation.down.clear();
+    simulation.run_seconds(5);
+    let access = |simulation: &Simulation| {
+        simulation
+            .leader
+            .scale_out_access(simulation.now, &"x".into())
+    };
+    assert_eq!(simulation.state("x"), ZoneState::Probation);
+    assert_eq!(access(&simulation), ScaleOutAccess::Closed);
+    simulation.run_seconds(20);
+    assert_eq!(simulation.state("x"), ZoneState::Probation);
+    assert_eq!(access(&simulation), ScaleOutAccess::Open);
 }
 
+/// Guards against delayed, duplicate or expired messages that count as current evidence.
 #[test]
-fn late_copies_and_stale_evidence_say_nothing() {
+fn delayed_and_expired_evidence_is_ignored() {
     let mut table = EvidenceTable::default();
     let at = Micros::from_millis;
     let down = BTreeSet::from([0]);
@@ -355,13 +429,17 @@
     assert_eq!(table.observe(at(100))["x"].silent, 0);
     assert_eq!(table.outdated(), 2);
     table.receive(at(200), evidence("c1", 1, &down));
-    assert_eq!(table.observe(at(200))["x"].machines, 20, "blocks of both");
+    assert_eq!(
+        table.observe(at(200))["x"].machines,
+        20,
+        "machines of the partitions of both controllers"
+    );
     assert_eq!(
         table.observe(at(3_100))["x"].machines,
         10,
-        "c0 is not heard any more"
+        "the evidence of c0 has expired"
     );
-    // A new incarnation counts from one again.
+    // The sequence numbers of a new incarnation start from one again.
     let restarted = ZoneEvidence {
         incarnation: Revision(2),
         ..evidence("c0", 1, &down)
@@ -370,12 +448,14 @@
     assert_eq!(table.observe(at(3_100))["x"].silent, 20);
 }
 
+/// Guards against a zone that stays lost for ever, because the next leader has zone failover
+/// disabled and never replaces the record.
 #[test]
-fn the_record_of_a_leader_that_is_gone_counts_for_a_while_only() {
-    let mut world = World::new(Settings::default());
-    world.down.insert(0);
-    world.pass(12);
-    let record = world.record.expect("recorded");
+fn record_of_former_leader_expires() {
+    let mut simulation = Simulation::new(Settings::default());
+    simulation.down.insert(0);
+    simulation.run_seconds(12);
+    let record = simulation.record.expect("a record");
     let at = Micros::from_millis;
     let mut view = ZoneView::default();
     let sync = |view: &mut ZoneView, now, leader| view.sync(now, Some(&record), leader);
@@ -384,7 +464,7 @@
     assert_eq!(
         view.state(at(900_000), &"x".into()),
         ZoneState::Lost,
-        "as long as it leads"
+        "the record counts while its leader leads"
     );
     sync(&mut view, at(900_000), None);
     assert_eq!(view.state(at(909_000), &"x".into()), ZoneState::Lost);
@@ -392,24 +472,25 @@
     assert_eq!(
         view.state(at(910_000), &"x".into()),
         ZoneState::Healthy,
-        "a leader that never takes it back"
+        "the next leader has not replaced the record"
     );
 }
 
+/// Guards against malformed records, or records of a newer version, that are partly used.
 #[test]
-fn a_record_that_cannot_be_read_is_no_opinion() {
-    let read = |text: &str| ZonesRecord::read(&serde_json::from_str(text).expect("JSON"));
+fn malformed_or_newer_record_is_rejected() {
+    let read = |text: &str| ZonesRecord::read(&serde_json::from_str(text).expect("valid JSON"));
     let newer = r#"{"version": 2, "zones": "quite different"}"#;
     assert_eq!(read(newer), Err(RecordError::Newer(2)));
-    for damaged in [
+    for malformed in [
         "null",
         "7",
         "{}",
         r#"{"version": 1, "leader": 4, "zones": {"x": {"state": "ill"}}}"#,
     ] {
         assert!(
-            matches!(read(damaged), Err(RecordError::Malformed(_))),
-            "{damaged}"
+            matches!(read(malformed), Err(RecordError::Malformed(_))),
+            "{malformed}"
         );
     }
 }
--- a/crates/zone-failover/tests/settings.rs
+++ b/crates/zone-failover/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Bad input is refused with its place and a remedy; windows follow the clocks of their zone.
+//! Tests of the operators' settings: defaults, every key of the file, the error texts for invalid
+//! values, and return windows at changes of the local clocks.
 
 #![expect(clippy::expect_used, reason = "helpers of tests fail by panicking")]
 
@@ -8,31 +9,36 @@
 use zone_failover::settings::{DeclaredState, RawSettings, Site};
 use zone_failover::window::ReturnWindow;
 
+/// Reads and checks a settings text. An error starts with the part of the text at its position.
 fn check(text: &str) -> Result<Option<zone_failover::settings::Settings>, String> {
     let site = Site {
         zones: vec!["glenorchy-pump".into(), "huonville-yard".into()],
         classes: vec!["gauge-alerts".into()],
     };
-    let raw: RawSettings = toml::from_str(text).map_err(|e| e.message().to_owned())?;
+    let raw: RawSettings = toml::from_str(text).map_err(|error| error.message().to_owned())?;
     raw.check(&site)
-        .map_err(|e| format!("{}: {e}", &text[e.span.clone()]))
+        .map_err(|error| format!("{}: {error}", &text[error.span.clone()]))
 }
 
+/// Guards against zone failover that is enabled without a setting, and against an omitted setting
+/// that loses its default because another one in the table is set.
 #[test]
-fn what_is_not_set_keeps_its_default_and_off_is_the_default() {
+fn omitted_settings_have_defaults_and_failover_is_disabled_by_default() {
     assert_eq!(check(""), Ok(None));
-    let on = check("enabled = true").expect("fine").expect("on");
-    assert_eq!(on, zone_failover::settings::Settings::default());
+    let settings = check("enabled = true").expect("valid").expect("enabled");
+    assert_eq!(settings, zone_failover::settings::Settings::default());
     let text = "enabled = true\nservices = [\"gauge-alerts\"]\n[health]\nlost-after = \"1m 30s\"\n\
                 [[declared]]\nzone = \"huonville-yard\"\nstate = \"out\"";
-    let on = check(text).expect("fine").expect("on");
-    assert_eq!(on.health.lost_after, Micros::from_millis(90_000));
-    assert_eq!(on.declared["huonville-yard"], DeclaredState::Out);
+    let settings = check(text).expect("valid").expect("enabled");
+    assert_eq!(settings.health.lost_after, Micros::from_millis(90_000));
+    assert_eq!(settings.declared["huonville-yard"], DeclaredState::Out);
 }
 
+/// Guards against invalid settings that are accepted, also while zone failover is disabled, and
+/// against error texts that do not name the value and a remedy.
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
-fn what_is_wrong_is_refused_even_where_the_subsystem_is_off() {
+fn invalid_settings_are_rejected_even_if_failover_is_disabled() {
     let cases = [
         ("enable = true", "unknown field `enable`"),
         ("[health]\nlost-after = 5", "invalid type: integer"),
@@ -87,8 +93,8 @@
         ),
     ];
     for (text, expected) in cases {
-        let refused = check(text).expect_err(text);
-        assert!(refused.contains(expected), "{text}: {refused}");
+        let error = check(text).expect_err(text);
+        assert!(error.contains(expected), "{text}: {error}");
     }
     let windows = [
         (
@@ -114,14 +120,16 @@
     ];
     for (window, expected) in windows {
         let text = format!("[return]\nwindow = [{{{window}}}]");
-        let refused = check(&text).expect_err(window);
-        assert!(refused.contains(expected), "{window}: {refused}");
+        let error = check(&text).expect_err(window);
+        assert!(error.contains(expected), "{window}: {error}");
     }
 }
 
+/// Guards against keys that set the field of another key, or none. Every number and duration in the
+/// file differs from its default.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one file with every key")]
-fn every_key_is_read_from_its_place() {
+fn every_key_sets_its_own_field() {
     let text = r#"enabled = true
         evacuation-priority = "rank_level"
         services = ["gauge-alerts"]
@@ -156,38 +164,63 @@
         time-zone = "Australia/Hobart"
         from = "12:00"
         to = "13:00""#;
-    let raw: RawSettings = toml::from_str(text).expect("well formed");
-    assert_eq!(raw.evacuation_priority().expect("given").0, "rank_level");
-    let s = check(text).expect("fine").expect("on");
-    let h = &s.health;
-    let times = [h.suspect_after, h.lost_after, h.return_after, h.probation];
-    assert_eq!(times.map(Micros::as_secs), [2.0, 5.0, 6.0, 11.0]);
-    let times = [h.max_probation, h.quiet, h.probe_after, h.patience];
-    assert_eq!(times.map(Micros::as_secs), [61.0, 660.0, 21.0, 31.0]);
-    assert_eq!((h.lost_share, h.up_share, h.min_machines), (0.75, 0.25, 4));
-    let w = &s.waves;
+    let raw: RawSettings = toml::from_str(text).expect("valid TOML");
     assert_eq!(
-        (w.machines, w.tasks, w.interval.as_secs()),
+        raw.evacuation_priority().expect("an expression").0,
+        "rank_level"
+    );
+    let settings = check(text).expect("valid").expect("enabled");
+    let health = &settings.health;
+    let durations = [
+        health.suspect_after,
+        health.lost_after,
+        health.return_after,
+        health.probation,
+    ];
+    assert_eq!(durations.map(Micros::as_secs), [2.0, 5.0, 6.0, 11.0]);
+    let durations = [
+        health.max_probation,
+        health.quiet,
+        health.probe_after,
+        health.patience,
+    ];
+    assert_eq!(durations.map(Micros::as_secs), [61.0, 660.0, 21.0, 31.0]);
+    assert_eq!(
+        (health.lost_share, health.up_share, health.min_machines),
+        (0.75, 0.25, 4)
+    );
+    let waves = &settings.waves;
+    assert_eq!(
+        (waves.machines, waves.tasks, waves.interval.as_secs()),
         (201, 2001, 1.5)
     );
-    let r = &s.failback;
-    let numbers = (r.move_running, r.tasks_per_team, r.min_gain);
-    assert_eq!((numbers, r.period.as_secs()), ((true, 11, 2.5), 7200.0));
+    let failback = &settings.failback;
+    let limits = (
+        failback.move_running,
+        failback.tasks_per_team,
+        failback.min_gain,
+    );
+    assert_eq!(
+        (limits, failback.period.as_secs()),
+        ((true, 11, 2.5), 7200.0)
+    );
     use Weekday::*;
     let days = vec![
         Monday, Tuesday, Wednesday, Thursday, Friday, Saturday, Sunday,
     ];
     let windows = [("22:00", "05:00"), ("12:00", "13:00")];
     let windows = windows.map(|(from, to)| window(HOBART, days.clone(), from, to));
-    assert_eq!(r.windows, windows);
-    assert_eq!(s.services, ["gauge-alerts"]);
-    let declared = |zone: &str| s.declared[zone];
+    assert_eq!(failback.windows, windows);
+    assert_eq!(settings.services, ["gauge-alerts"]);
+    let declared = |zone: &str| settings.declared[zone];
     assert_eq!(declared("glenorchy-pump"), DeclaredState::In);
     assert_eq!(declared("huonville-yard"), DeclaredState::Out);
 }
 
+/// Guards against keys that are renamed, added or dropped unnoticed: the error about an unknown key
+/// lists all keys that a table accepts.
 #[test]
-fn every_table_knows_these_keys_and_no_other() {
+fn each_table_accepts_exactly_the_listed_keys() {
     let cases = [
         (
             "",
@@ -206,21 +239,22 @@
         ("[[return.window]]\n", "`time-zone`, `days`, `from`, `to`"),
         ("[[declared]]\n", "`zone` or `state`"),
     ];
-    for (table, known) in cases {
-        let refused = check(&format!("{table}zzz = 1")).expect_err(table);
-        let (what, keys) = refused.split_once(", expected ").expect(table);
+    for (table, accepted) in cases {
+        let error = check(&format!("{table}zzz = 1")).expect_err(table);
+        let (problem, keys) = error.split_once(", expected ").expect(table);
         assert_eq!(
-            (what, keys.trim_start_matches("one of ")),
-            ("unknown field `zzz`", known)
+            (problem, keys.trim_start_matches("one of ")),
+            ("unknown field `zzz`", accepted)
         );
     }
 }
 
-/// The time of day at a local time; `later`: the second of two that the clocks show.
-fn at(zone: &str, local: jiff::civil::DateTime, later: bool) -> Micros {
+/// The time of day at a local time. If the clocks show the local time twice, `second_occurrence`
+/// selects the second one.
+fn at(zone: &str, local: jiff::civil::DateTime, second_occurrence: bool) -> Micros {
     let time_zone = TimeZoneDatabase::bundled().get(zone).expect("a zone");
     let ambiguous = time_zone.to_ambiguous_timestamp(local);
-    let resolved = if later {
+    let resolved = if second_occurrence {
         ambiguous.later()
     } else {
         ambiguous.earlier()
@@ -229,27 +263,30 @@
 }
 
 fn window(zone: &str, days: Vec<Weekday>, from: &str, to: &str) -> ReturnWindow {
-    let time = |t| Time::strptime("%H:%M", t).expect("a time");
+    let time = |text| Time::strptime("%H:%M", text).expect("a time");
     ReturnWindow::new(zone, days, time(from), time(to)).expect("a window")
 }
 
 const HOBART: &str = "Australia/Hobart";
 
+/// Guards against a window past midnight that is closed after midnight, or that is open in the
+/// early hours of the day on which it begins.
 #[test]
-fn a_window_over_midnight_belongs_to_the_day_on_which_it_begins() {
-    let w = window(HOBART, vec![Weekday::Monday], "22:00", "05:00");
-    let open = |wall_clock, hour, minute| {
-        let local = date(2026, 12, wall_clock).at(hour, minute, 0, 0);
-        w.is_open(at(HOBART, local, false))
+fn window_past_midnight_belongs_to_the_day_it_begins_on() {
+    let window = window(HOBART, vec![Weekday::Monday], "22:00", "05:00");
+    let open = |day, hour, minute| {
+        let local = date(2026, 12, day).at(hour, minute, 0, 0);
+        window.is_open(at(HOBART, local, false))
     };
-    // The 7th is a Monday.
+    // 7 December 2026 is a Monday.
     assert!(!open(7, 21, 59) && open(7, 22, 0) && open(8, 4, 59) && !open(8, 5, 0));
     assert!(!open(7, 4, 0) && !open(8, 23, 0));
 }
 
+/// Guards against a window that never opens or never closes because the clocks skip its boundary.
 #[test]
-fn an_hour_that_is_missing_is_skipped() {
-    // On 4 October 2026 Hobart's clocks go from 2:00 to 3:00.
+fn window_boundary_in_skipped_hour_moves_to_the_clock_change() {
+    // On 4 October 2026 the clocks in Hobart are set forward from 2:00 to 3:00.
     let local = |hour, minute| at(HOBART, date(2026, 10, 4).at(hour, minute, 0, 0), false);
     let begins = window(HOBART, vec![Weekday::Sunday], "02:30", "04:00");
     assert!(
@@ -265,13 +302,23 @@
     );
 }
 
+/// Guards against a window that closes between the two occurrences of an hour.
 #[test]
-fn an_hour_that_comes_twice_counts_whole() {
-    // On 5 April 2026 Hobart's clocks go from 3:00 back to 2:00.
-    let local = |hour, minute, later| at(HOBART, date(2026, 4, 5).at(hour, minute, 0, 0), later);
+fn window_boundary_in_repeated_hour_covers_both_occurrences() {
+    // On 5 April 2026 the clocks in Hobart are set back from 3:00 to 2:00.
+    let local = |hour, minute, second_occurrence| {
+        at(
+            HOBART,
+            date(2026, 4, 5).at(hour, minute, 0, 0),
+            second_occurrence,
+        )
+    };
     let begins = window(HOBART, vec![Weekday::Sunday], "02:30", "04:00");
     assert!(!begins.is_open(local(2, 29, false)) && begins.is_open(local(2, 30, false)));
-    assert!(begins.is_open(local(2, 10, true)), "open all along");
+    assert!(
+        begins.is_open(local(2, 10, true)),
+        "open from the first occurrence on"
+    );
     let ends = window(HOBART, vec![Weekday::Sunday], "01:00", "02:30");
     assert!(ends.is_open(local(2, 50, false)) && ends.is_open(local(2, 29, true)));
     assert!(!ends.is_open(local(2, 30, true)));
