--- a/crates/rockdeal-types/src/ids.rs
+++ b/crates/rockdeal-types/src/ids.rs
@@ -1,4 +1,5 @@
-//! Identifiers, each a type of its own, so that the compiler refuses one in the place of another.
+//! Identifiers. Each kind has its own type, so that the compiler rejects an identifier of another
+//! kind.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Borrow;
@@ -116,8 +117,8 @@
 const EPOCH_BITS: u32 = 20;
 
 impl FencingToken {
-    /// Combines a term and an epoch. Epochs above the largest that fits in 20 bits are reduced
-    /// to it.
+    /// Combines a term and an epoch. An epoch that does not fit in 20 bits is replaced by the
+    /// largest one that does.
     ///
     /// An owner raises its epoch to fence its own delayed commands, which needs no request to
     /// another process. A token of a higher term is above every token of a lower one, whatever
--- a/crates/zone-failover/src/leader/mod.rs
+++ b/crates/zone-failover/src/leader/mod.rs
@@ -73,7 +73,7 @@
 /// What the leader knows about the record in the store.
 #[derive(Debug, PartialEq)]
 enum Stored {
-    /// The store holds no record that counts.
+    /// The store holds no record that can be used.
     Absent,
     /// The contents are unknown: an earlier leader's record, or one whose commit was not confirmed.
     Unknown,
--- a/crates/zone-failover/src/settings/checks.rs
+++ b/crates/zone-failover/src/settings/checks.rs
@@ -24,8 +24,8 @@
 pub(super) const ONE_MINUTE: Micros = Micros::from_millis(60_000);
 pub(super) const ONE_HOUR: Micros = Micros::from_millis(3_600_000);
 pub(super) const ONE_DAY: Micros = Micros::from_millis(24 * 3_600_000);
-/// Shortest time in which a change of a zone can be detected. Controllers send evidence every 0.7
-/// s, so a shorter time would not be observed.
+/// Shortest time in which a change of a zone can be detected. Evidence arrives every 0.7 s, so a
+/// shorter time has no meaning.
 pub(super) const MIN_DETECTION_TIME: Micros = Micros::from_millis(500);
 /// Longest `patience`. A job that waits longer than this while a machine has room for it counts as
 /// starved.
--- a/crates/zone-failover/src/settings/mod.rs
+++ b/crates/zone-failover/src/settings/mod.rs
@@ -68,11 +68,11 @@
     /// Waiting time after which a job may use machines of zones that are lost or on probation,
     /// provided that the heartbeats of these machines arrive.
     pub patience: Micros,
-    /// Share of silent machines (0 to 1) from which on a zone is down.
+    /// Share of silent machines (0 to 1) at or above which a zone is down.
     pub lost_share: f64,
-    /// Share of silent machines (0 to 1) up to which a zone is up.
+    /// Share of silent machines (0 to 1) at or below which a zone is up.
     pub up_share: f64,
-    /// Number of machines from which on the shares apply. A zone with fewer machines is down only
+    /// Minimum number of machines for the shares to apply. A zone with fewer machines is down only
     /// if all its machines and all its controllers are silent.
     pub min_machines: u32,
 }
@@ -123,7 +123,7 @@
     pub move_running: bool,
     /// Number of tasks of a team that may be moved at the same time.
     pub tasks_per_team: u32,
-    /// Smallest ratio of the gain of a move to its cost.
+    /// Minimum ratio of the gain of a move to its cost.
     pub min_gain: f64,
     /// Time after the recovery of a zone during which tasks are moved back there.
     pub period: Micros,
--- a/crates/zone-failover/src/view.rs
+++ b/crates/zone-failover/src/view.rs
@@ -1,6 +1,6 @@
 //! The committed states of the zones, as far as a controller may act on them.
 //!
-//! A record counts while the leader that committed it leads, and for a limited time afterwards.
+//! A record is valid while the leader that committed it leads, and for a limited time afterwards.
 
 use crate::health::ZoneState;
 use crate::record::{ZoneRecord, ZonesRecord};
@@ -8,8 +8,8 @@
 use rockdeal_types::ids::{Revision, ZoneId};
 use std::collections::BTreeMap;
 
-/// Time for which a record counts after its leader has lost the leadership. If zone failover is
-/// enabled on the next leader, that leader commits the record anew with its first evaluation.
+/// Time for which a record remains valid after its leader has lost the leadership. If zone failover
+/// is enabled on the next leader, that leader commits the record anew with its first evaluation.
 const ORPHANED_RECORD_TTL: Micros = Micros::from_millis(10_000);
 
 /// The states of the zones that this controller may act on.
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Returns the record if it counts at `now`.
+    /// Returns the record if it is valid at `now`.
     fn current(&self, now: Micros) -> Option<&ZonesRecord> {
         // Guards against a zone that stays lost for ever: a leader that has zone failover disabled,
         // or runs an earlier version, never replaces the record.
@@ -49,7 +49,7 @@
     }
 
     /// Returns the record of a zone. `None` means that the zone is healthy and was never lost, or
-    /// that no record counts.
+    /// that there is no valid record.
     pub fn zone(&self, now: Micros, id: &ZoneId) -> Option<&ZoneRecord> {
         self.current(now)?.zones.get(id)
     }
