--- a/crates/zone-failover/src/failback.rs
+++ b/crates/zone-failover/src/failback.rs
@@ -15,9 +15,9 @@
     /// Index of the task's team in the settings.
     pub team: usize,
     /// Whether the task has started to run.
-    pub begun: bool,
+    pub has_started: bool,
     /// Whether the task saves checkpoints.
-    pub saves: bool,
+    pub saves_checkpoints: bool,
     /// Amount of money by which the remaining run is cheaper in the original zone.
     pub gain: f64,
     /// Cost of the move in money: saving a checkpoint, starting again, and repeating lost work.
@@ -27,7 +27,7 @@
 impl<K> EvacuatedTask<K> {
     /// Returns whether the task keeps its progress when it is moved, and gains enough by the move.
     fn may_move(&self, settings: &FailbackSettings) -> bool {
-        let keeps_progress = self.saves || !self.begun;
+        let keeps_progress = self.saves_checkpoints || !self.has_started;
         keeps_progress && self.gain > 0.0 && self.gain >= settings.min_gain * self.loss
     }
 }
--- a/crates/zone-failover/tests/evacuation.rs
+++ b/crates/zone-failover/tests/evacuation.rs
@@ -263,11 +263,11 @@
         tasks_per_team: 2,
         ..FailbackSettings::default()
     };
-    let task = |key, team, begun, saves, gain, loss| EvacuatedTask {
+    let task = |key, team, has_started, saves_checkpoints, gain, loss| EvacuatedTask {
         key,
         team,
-        begun,
-        saves,
+        has_started,
+        saves_checkpoints,
         gain,
         loss,
     };
@@ -275,20 +275,20 @@
         task("small gain", 0, true, true, 2.0, 1.0),
         task("large gain", 0, true, true, 9.0, 1.0),
         task("third of its team", 0, true, true, 1.9, 1.0),
-        task("can't save", 1, true, false, 9.0, 1.0),
-        task("not begun", 1, false, false, 9.0, 1.0),
+        task("no checkpoints", 1, true, false, 9.0, 1.0),
+        task("not started", 1, false, false, 9.0, 1.0),
         task("not worth it", 1, true, true, 1.4, 1.0),
         task("no gain", 2, true, true, 0.0, 0.0),
     ];
     let none_moving = BTreeMap::new();
     assert_eq!(
         choose(tasks.clone(), &none_moving, &settings),
-        ["large gain", "not begun", "small gain"]
+        ["large gain", "not started", "small gain"]
     );
     let moving = BTreeMap::from([(0, 1)]);
     assert_eq!(
         choose(tasks.clone(), &moving, &settings),
-        ["large gain", "not begun"]
+        ["large gain", "not started"]
     );
     assert!(
         choose(tasks, &none_moving, &FailbackSettings::default()).is_empty(),
--- a/src/partition_owner/failback.rs
+++ b/src/partition_owner/failback.rs
@@ -170,8 +170,8 @@
         let task = EvacuatedTask {
             key: (evacuated.machine_id.clone(), evacuated.key.clone()),
             team: job.team,
-            begun: attempt.running_since.is_some(),
-            saves: desc.checkpoint_interval_s > 0.0,
+            has_started: attempt.running_since.is_some(),
+            saves_checkpoints: desc.checkpoint_interval_s > 0.0,
             gain: (price_here - price_at_home) * remaining_s,
             loss: price_at_home * repeated_s,
         };
