--- a/crates/zone-failover/src/view.rs
+++ b/crates/zone-failover/src/view.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns the zones that are not healthy, with their records.
-    pub fn troubled(&self, now: Micros) -> BTreeMap<ZoneId, ZoneRecord> {
+    pub fn unhealthy(&self, now: Micros) -> BTreeMap<ZoneId, ZoneRecord> {
         let zones = self
             .current(now)
             .into_iter()
@@ -73,7 +73,7 @@
     }
 
     /// Returns the zones that were lost and are healthy again, with their records.
-    pub fn returned(&self, now: Micros) -> BTreeMap<ZoneId, ZoneRecord> {
+    pub fn recovered(&self, now: Micros) -> BTreeMap<ZoneId, ZoneRecord> {
         let zones = self
             .current(now)
             .into_iter()
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -169,8 +169,8 @@
     fn refresh(&mut self, now: Micros) {
         self.last_refresh = now;
         let situation = ZoneSituation {
-            troubled: self.view.troubled(now),
-            returned: self.view.returned(now),
+            troubled: self.view.unhealthy(now),
+            returned: self.view.recovered(now),
             patience: self.situation.patience,
         };
         if situation != *self.situation {
