--- a/crates/zone-failover/tests/evacuation.rs
+++ b/crates/zone-failover/tests/evacuation.rs
@@ -277,7 +277,7 @@
         task("third of its team", 0, true, true, 1.9, 1.0),
         task("no checkpoints", 1, true, false, 9.0, 1.0),
         task("not started", 1, false, false, 9.0, 1.0),
-        task("not worth it", 1, true, true, 1.4, 1.0),
+        task("insufficient gain", 1, true, true, 1.4, 1.0),
         task("no gain", 2, true, true, 0.0, 0.0),
     ];
     let none_moving = BTreeMap::new();
