--- a/src/store/adaptive_token_bucket.rs
+++ b/src/store/adaptive_token_bucket.rs
@@ -1,30 +1,33 @@
-//! A rate limit that follows what the other controllers leave of a shared limit.
+//! A token bucket whose rate adapts to the part of a shared limit that other controllers leave
+//! unused.
 
 use super::token_bucket::TokenBucket;
 use crate::clock::Micros;
 
-/// The share of its highest rate that a bucket's rate increases by in a second.
+/// Fraction of the bucket's maximum rate by which its rate increases per second.
 const INCREASE_PER_SECOND: f64 = 0.02;
-/// The share of the rate that is left after a rejection.
+/// Factor by which a rejection multiplies the rate.
 const DECREASE_FACTOR: f64 = 0.7;
-/// Rejections this soon after one are of the same burst: the rate decreases once.
+/// Minimum time between two decreases of the rate. Rejections within this time of the last
+/// decrease belong to the same burst and do not decrease the rate again.
 const MIN_DECREASE_INTERVAL: Micros = Micros::from_millis(500);
 
 /// The bounds of an [`AdaptiveTokenBucket`]'s rate, in tokens per second.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RateBounds {
-    /// The rate that it begins at and never falls below.
+    /// The initial and minimum rate.
     pub(super) min: f64,
-    /// The highest rate while no request has been rejected.
+    /// The maximum rate until the first rejection.
     pub(super) max: f64,
-    /// The highest rate once the store has rejected a request for its limit.
+    /// The maximum rate after the store has rejected a request for its rate limit.
     pub(super) max_after_rejection: f64,
 }
 
-/// A bucket whose rate follows what the others leave: additive increase, and a
-/// multiplicative decrease as soon as the store rejects a request for its limit. Guards
-/// against an owner that may use only its even share of the writes while the other
-/// controllers need almost none.
+/// A token bucket with additive increase and multiplicative decrease (AIMD) of its rate.
+///
+/// The rate increases steadily, and decreases when the store rejects a request for its rate
+/// limit. With a constant rate, a controller would be held to its even share of the writes even
+/// while the other controllers write almost nothing.
 #[derive(Debug)]
 pub(super) struct AdaptiveTokenBucket {
     bucket: TokenBucket,
@@ -34,10 +37,12 @@
 }
 
 impl AdaptiveTokenBucket {
-    /// A bucket that begins at its lowest rate. A rejection indicates that the coming
-    /// limit may hold by now: from then on the rate rises to `max_after_rejection` only.
-    /// Guards against a bucket that goes on rising above a limit that has fallen, so that
-    /// all are rejected.
+    /// Creates a full bucket at its minimum rate.
+    ///
+    /// A rejection may mean that the store's announced lower limit has taken effect. From the
+    /// first rejection on, the rate therefore rises to `max_after_rejection` only. Otherwise the
+    /// rate would keep rising above a limit that has fallen, and the store would reject requests
+    /// of all controllers.
     pub(super) fn new(bounds: RateBounds, now: Micros) -> Self {
         AdaptiveTokenBucket {
             bucket: TokenBucket::new(bounds.min, now),
@@ -51,7 +56,8 @@
         }
     }
 
-    /// As [`TokenBucket::take`].
+    /// Increases the rate for the time since the last call, then takes tokens as
+    /// [`TokenBucket::take`] does.
     pub(super) fn take(&mut self, now: Micros, count: f64, reserve: f64) -> bool {
         let elapsed = now.since(self.increased_at).as_secs();
         let increase = elapsed * self.bounds.max * INCREASE_PER_SECOND;
@@ -60,7 +66,7 @@
         self.bucket.take(now, count, reserve)
     }
 
-    /// The store has rejected a request for its limit.
+    /// Records that the store rejected a request for its rate limit, and decreases the rate.
     pub(super) fn record_rejection(&mut self, now: Micros) {
         if now.since(self.decreased_at) >= MIN_DECREASE_INTERVAL {
             self.decreased_at = now;
--- a/src/store/adaptive_token_bucket/tests.rs
+++ b/src/store/adaptive_token_bucket/tests.rs
@@ -9,10 +9,11 @@
     AdaptiveTokenBucket::new(bounds, Micros(0))
 }
 
-/// Seen as jobs of one task that waited for minutes to be recorded as done: their owner
-/// used two fifths of the writes, and the other controllers almost none.
+/// Guards against a controller that is held to its even share of the writes while the others
+/// write almost nothing. One owner then used only two fifths of the store's write limit, and
+/// one-task jobs waited for minutes to be recorded as done.
 #[test]
-fn the_write_rate_rises_to_what_others_leave_and_falls_after_a_rejection() {
+fn the_rate_rises_to_its_maximum_and_decreases_after_a_rejection() {
     let mut bucket = bucket(12.0, 25.0, 25.0);
     let passed_in_second = |bucket: &mut AdaptiveTokenBucket, second: u64| {
         let at = |hundredth: u64| Micros(second * 1_000_000 + hundredth * 10_000);
@@ -33,22 +34,27 @@
     for rejected_second in 62..80 {
         bucket.record_rejection(Micros(rejected_second * 1_000_000));
     }
-    assert!(passed_in_second(&mut bucket, 80) >= 12, "its even share");
+    assert!(passed_in_second(&mut bucket, 80) >= 12, "the minimum rate");
 }
 
-/// Seen as hundreds of rejections in the minutes after the limit had fallen to 21 a second.
+/// Guards against a rate that rises above an announced limit which has taken effect. The store
+/// then rejected hundreds of requests in the minutes after its limit fell to 21 per second.
 #[test]
-fn after_a_rejection_the_rate_rises_to_the_coming_limit_only() {
+fn after_a_rejection_the_rate_rises_to_the_announced_limit_only() {
     let rate_after = |max_after_rejection: f64| {
         let mut bucket = bucket(8.0, 25.0, max_after_rejection);
         let minute = Micros::from_secs(60.0);
         assert!(bucket.take(minute, 1.0, 0.0));
-        assert_eq!(bucket.bucket.rate(), 25.0, "as long as none is rejected");
+        assert_eq!(
+            bucket.bucket.rate(),
+            25.0,
+            "the maximum before any rejection"
+        );
         bucket.record_rejection(minute);
         assert!(bucket.bucket.rate() < 18.0);
         bucket.take(minute + minute, 1.0, 0.0);
         bucket.bucket.rate()
     };
     assert_eq!(rate_after(18.0), 18.0);
-    assert_eq!(rate_after(25.0), 25.0, "where no other limit is to come");
+    assert_eq!(rate_after(25.0), 25.0, "no lower limit is announced");
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,9 +1,10 @@
-//! The key-value client: requests within this controller's budget, with retries.
+//! The client of the key-value store. It keeps requests within this controller's budget and
+//! retries those that the budget or the store's rate limit held back.
 //!
-//! A request is retried only while it surely was not carried out; an indeterminate reply
-//! goes to the caller, who alone knows what to read again.
+//! A request is retried only if it was certainly not carried out. An indeterminate reply is
+//! returned to the caller, which knows what to read to find out the outcome.
 
-use super::http::{TOO_MANY_REQUESTS, read_reply};
+use super::http::{TOO_MANY_REQUESTS, parse_reply};
 use super::reply::Reply;
 use super::request::{Request, RequestPriority};
 use super::request_budget::RequestBudget;
@@ -18,32 +19,33 @@
 pub use super::token_bucket::TokenBucket;
 pub use super::watch::{LoadedKeys, WatchResponse};
 
-/// No request waits longer than this for the store.
+/// Timeout of one HTTP request to the store.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A request that the budget or the store's limit holds back is retried for so long.
+/// Time for which a request is retried while the budget or the store's rate limit holds it back.
 const RETRY_TIMEOUT: Micros = Micros::from_millis(800);
-/// The time between two tries.
+/// Time between two attempts of a request.
 const RETRY_INTERVAL: Duration = Duration::from_millis(40);
 
-/// A handle of the key-value store; cheap to clone.
+/// A client of the key-value store. Clones are cheap and share connections and budget.
 #[derive(Clone)]
 pub struct KvClient {
     pub(super) pool: Rc<ConnectionPool>,
     budget: Rc<RefCell<RequestBudget>>,
-    /// The largest value that may be written, in bytes.
+    /// Maximum size of a value, in bytes, under both the current and the announced limits.
     max_value_bytes: usize,
     clock: MonotonicClock,
 }
 
-/// What came of one try.
+/// The outcome of one attempt to send a request.
 enum Attempt {
     Replied(Reply),
-    /// The store's rate limit is used up: surely not carried out.
+    /// The store rejected the request for its rate limit and did not carry it out.
     RateLimited,
 }
 
 impl KvClient {
-    /// A client of a controller that `share` (from 0 to 1) of the store's limits is for.
+    /// Creates the client of a controller whose share of the store's limits is `share`, from 0
+    /// to 1.
     pub fn new(
         pool: Rc<ConnectionPool>,
         clock: MonotonicClock,
@@ -59,17 +61,22 @@
         }
     }
 
-    /// Whether the budget allows a request with this many writes now.
+    /// Takes a request with `writes` mutations from the budget. Returns `false` if the budget
+    /// does not allow the request now.
     pub(super) fn admit(&self, priority: RequestPriority, writes: usize) -> bool {
         let now = self.clock.now();
         self.budget.borrow_mut().admit(now, priority, writes)
     }
 
-    /// Sends a request, waiting a little for the budget where it is used up.
+    /// Sends a request and returns the store's reply.
+    ///
+    /// Waits up to `RETRY_TIMEOUT` for the budget, and retries within that time if the store
+    /// rejects the request for its rate limit. Background requests are not retried after such a
+    /// rejection.
     pub async fn execute(&self, request: Request, priority: RequestPriority) -> Reply {
         if let Some(oversized) = request.oversized_value(self.max_value_bytes) {
-            // It would be rejected for its size, now or under the coming limits: it is
-            // not sent at all.
+            // The store would reject the value for its size, now or once the announced limits
+            // take effect, so the request is not sent.
             let (key, bytes) = (oversized.key, oversized.bytes);
             tracing::error!(key, bytes, "store value rejected as too large");
             return Reply::Rejected;
@@ -80,7 +87,7 @@
             if self.admit(priority, writes) {
                 match self.send(&request).await {
                     Attempt::Replied(reply) => return reply,
-                    // Others used what was left of the limit: once more, a little later.
+                    // Other controllers used up the shared rate limit: retry after an interval.
                     Attempt::RateLimited => self.record_rate_limit(writes),
                 }
                 if priority == RequestPriority::Background {
@@ -106,7 +113,7 @@
         let response = self.pool.send(&http, REQUEST_TIMEOUT).await;
         Attempt::Replied(match response {
             Ok((TOO_MANY_REQUESTS, _)) => return Attempt::RateLimited,
-            Ok((status, body)) => read_reply(request, status, &body),
+            Ok((status, body)) => parse_reply(request, status, &body),
             Err(RequestError::NotSent) => Reply::Rejected,
             Err(RequestError::NoAnswer) => Reply::Indeterminate,
         })
--- a/src/store/http.rs
+++ b/src/store/http.rs
@@ -1,7 +1,7 @@
-//! The store's HTTP interface: requests and replies in the form that it settled.
+//! The HTTP form of requests to the store and of its replies.
 //!
-//! A reply is definite only if the store surely sent it: whatever can't be parsed leaves
-//! open whether the request was carried out.
+//! The paths and field names are defined by the store. A response that cannot be parsed counts
+//! as indeterminate, because it does not show whether the request was carried out.
 
 use super::reply::{KeyValue, Reply, WatchEvent};
 use super::request::{Compare, Mutation, Request};
@@ -12,16 +12,16 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// The store rejected a request for its rate limit.
+/// Status of a request that exceeded the store's rate limit.
 pub(super) const TOO_MANY_REQUESTS: u16 = 429;
-/// The store no longer keeps the changes that a watch must begin at.
+/// Status of a watch whose start revision the store has compacted.
 pub(super) const REVISION_COMPACTED: u16 = 410;
-/// The store is unavailable and carried nothing out.
+/// Status of a request that an unavailable store did not carry out.
 const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// The keys of one page of a listing.
+/// Maximum number of keys in one page of a listing.
 const PAGE_SIZE: usize = 500;
-/// What the body of a rejected compare-and-swap contains if its lease has ended.
+/// Text in the body of a compare-and-swap that was rejected because its lease has ended.
 const NO_SUCH_LEASE: &[u8] = b"no such lease";
 
 #[derive(Deserialize)]
@@ -51,18 +51,18 @@
     revision: Revision,
 }
 
-/// The reply to a watch.
+/// The body of the response to a watch.
 #[derive(Deserialize)]
 pub(super) struct WatchBody {
-    /// The revision that the events reach.
+    /// The revision up to which all changes are included.
     #[serde(rename = "ledger")]
     pub(super) revision: Revision,
-    /// The changes, in their order.
+    /// The changes, in the order in which they were committed.
     #[serde(rename = "log")]
     pub(super) events: Vec<WatchEvent>,
 }
 
-/// The HTTP request that carries a request to the store.
+/// Converts a request to the HTTP request that is sent to the store.
 pub(crate) fn http_request(request: &Request) -> HttpRequest {
     match request {
         Request::Get { key } => HttpRequest::get(format!("/keys/{key}")),
@@ -93,7 +93,8 @@
     }
 }
 
-/// The HTTP request that waits for changes below a prefix after a revision.
+/// Returns the HTTP request that waits up to `wait` for changes after the revision `since` to
+/// keys with this prefix.
 pub(super) fn watch_request(prefix: &str, since: Revision, wait: Duration) -> HttpRequest {
     let wait_ms = wait.as_millis();
     HttpRequest::get(format!(
@@ -110,25 +111,25 @@
     duration.0 / MICROS_PER_MILLI
 }
 
-/// The store's reply to a request, from the status and the body of the HTTP response.
-pub(super) fn read_reply(request: &Request, status: u16, body: &[u8]) -> Reply {
+/// Converts the status and the body of the HTTP response to the reply to `request`.
+pub(super) fn parse_reply(request: &Request, status: u16, body: &[u8]) -> Reply {
     match (request, status) {
         (_, TOO_MANY_REQUESTS | SERVICE_UNAVAILABLE) => Reply::Rejected,
-        (Request::Get { .. }, 200) => parse(body, Reply::Value),
+        (Request::Get { .. }, 200) => parse_body(body, Reply::Value),
         (Request::Get { .. }, 404) => Reply::NotFound,
-        (Request::List { .. }, 200) => parse(body, |page: PageBody| Reply::Page {
+        (Request::List { .. }, 200) => parse_body(body, |page: PageBody| Reply::Page {
             entries: page.entries,
             more: page.more,
             revision: page.revision,
         }),
-        (Request::CompareAndSwap { .. }, 200) => parse(body, |committed: CommittedBody| {
+        (Request::CompareAndSwap { .. }, 200) => parse_body(body, |committed: CommittedBody| {
             Reply::Committed(committed.revision)
         }),
-        (Request::CompareAndSwap { .. }, 409) => parse(body, |conflict: ConflictBody| {
+        (Request::CompareAndSwap { .. }, 409) => parse_body(body, |conflict: ConflictBody| {
             Reply::Conflict(conflict.failed)
         }),
-        (Request::CompareAndSwap { .. }, 400) if names_ended_lease(body) => Reply::LeaseExpired,
-        (Request::GrantLease { .. }, 200) => parse(body, |granted: LeaseBody| {
+        (Request::CompareAndSwap { .. }, 400) if reports_ended_lease(body) => Reply::LeaseExpired,
+        (Request::GrantLease { .. }, 200) => parse_body(body, |granted: LeaseBody| {
             Reply::LeaseGranted(granted.lease_id)
         }),
         (Request::RenewLease { .. } | Request::RevokeLease { .. }, 200..=299) => {
@@ -144,11 +145,11 @@
     }
 }
 
-fn parse<'a, T: Deserialize<'a>>(body: &'a [u8], into_reply: impl Fn(T) -> Reply) -> Reply {
+fn parse_body<'a, T: Deserialize<'a>>(body: &'a [u8], into_reply: impl Fn(T) -> Reply) -> Reply {
     serde_json::from_slice(body).map_or(Reply::Indeterminate, into_reply)
 }
 
-fn names_ended_lease(body: &[u8]) -> bool {
+fn reports_ended_lease(body: &[u8]) -> bool {
     body.windows(NO_SUCH_LEASE.len())
         .any(|window| window == NO_SUCH_LEASE)
 }
--- a/src/store/http/tests.rs
+++ b/src/store/http/tests.rs
@@ -1,3 +1,6 @@
+//! Guards against changes to the HTTP form of requests, and against a reply that claims to know
+//! the outcome of a request when the response does not show it.
+
 use super::*;
 
 fn compare_and_swap() -> Request {
@@ -11,21 +14,21 @@
 fn only_definite_responses_give_definite_replies() {
     let request = compare_and_swap();
     assert_eq!(
-        read_reply(&request, 200, br#"{"ledger":432}"#),
+        parse_reply(&request, 200, br#"{"ledger":432}"#),
         Reply::Committed(Revision(432))
     );
     assert_eq!(
-        read_reply(&request, 409, br#"{"failed":["a"],"ledger":4}"#),
+        parse_reply(&request, 409, br#"{"failed":["a"],"ledger":4}"#),
         Reply::Conflict(vec!["a".into()])
     );
     assert_eq!(
-        read_reply(&request, 400, br#"{"error":"no such lease"}"#),
+        parse_reply(&request, 400, br#"{"error":"no such lease"}"#),
         Reply::LeaseExpired
     );
-    assert_eq!(read_reply(&request, 503, b""), Reply::Rejected);
-    // Half an answer is no answer: the write may have been carried out.
-    assert_eq!(read_reply(&request, 200, b"{\"led"), Reply::Indeterminate);
-    assert_eq!(read_reply(&request, 502, b""), Reply::Indeterminate);
+    assert_eq!(parse_reply(&request, 503, b""), Reply::Rejected);
+    // After a truncated response the write may have been carried out.
+    assert_eq!(parse_reply(&request, 200, b"{\"led"), Reply::Indeterminate);
+    assert_eq!(parse_reply(&request, 502, b""), Reply::Indeterminate);
 }
 
 #[test]
@@ -45,7 +48,7 @@
     let watch: WatchBody = serde_json::from_str(watch).expect("a watch body");
     assert_eq!(watch.events[1].revision, Revision(432));
     let grant = Request::GrantLease { ttl: Micros(1) };
-    let reply = read_reply(&grant, 200, br#"{"tenure":7}"#);
+    let reply = parse_reply(&grant, 200, br#"{"tenure":7}"#);
     assert_eq!(reply, Reply::LeaseGranted(LeaseId(7)));
 }
 
@@ -118,8 +121,8 @@
     }
 }
 
-fn read(request: &Request, status: u16, body: &str) -> Reply {
-    read_reply(request, status, body.as_bytes())
+fn reply_to(request: &Request, status: u16, body: &str) -> Reply {
+    parse_reply(request, status, body.as_bytes())
 }
 
 fn entry(key: &str, value: Value, revision: u64) -> KeyValue {
@@ -142,29 +145,38 @@
     let rows = r#"{"rows":[{"k":"r/x","value":{"a":1},"stamp":412,"tenure":7},{"k":"r/y","value":null,"stamp":3}],"more":true,"ledger":433}"#;
     let both = vec![x.clone(), entry("r/y", Value::Null, 3)];
     let found = r#"{"k":"r/x","value":{"a":1},"stamp":412,"new":0}"#;
-    assert_eq!(read(&get, 200, found), Reply::Value(x));
+    assert_eq!(reply_to(&get, 200, found), Reply::Value(x));
     assert_eq!(
-        read(&get, 200, r#"{"k":"r/x","value":1}"#),
+        reply_to(&get, 200, r#"{"k":"r/x","value":1}"#),
         Reply::Indeterminate
     );
-    assert_eq!(read(&get, 404, r#"{"error":"none"}"#), Reply::NotFound);
-    assert_eq!(read(&list, 200, rows), page(both, true, 433));
+    assert_eq!(reply_to(&get, 404, r#"{"error":"none"}"#), Reply::NotFound);
+    assert_eq!(reply_to(&list, 200, rows), page(both, true, 433));
     let empty = page(vec![], false, 5);
-    assert_eq!(read(&list, 200, r#"{"rows":[],"ledger":5}"#), empty);
-    assert_eq!(read(&list, 200, r#"{"rows":[]}"#), Reply::Indeterminate);
+    assert_eq!(reply_to(&list, 200, r#"{"rows":[],"ledger":5}"#), empty);
+    assert_eq!(reply_to(&list, 200, r#"{"rows":[]}"#), Reply::Indeterminate);
 }
 
 #[test]
 fn replies_to_compare_and_swaps_depend_on_status() {
     let request = compare_and_swap();
     let committed = Reply::Committed(Revision(434));
-    assert_eq!(read(&request, 200, r#"{"ledger":434,"new":0}"#), committed);
+    assert_eq!(
+        reply_to(&request, 200, r#"{"ledger":434,"new":0}"#),
+        committed
+    );
     let conflict = Reply::Conflict(vec!["a".into(), "b".into()]);
-    assert_eq!(read(&request, 409, r#"{"failed":["a","b"]}"#), conflict);
-    assert_eq!(read(&request, 409, r#"{"ledger":4}"#), Reply::Indeterminate);
+    assert_eq!(reply_to(&request, 409, r#"{"failed":["a","b"]}"#), conflict);
+    assert_eq!(
+        reply_to(&request, 409, r#"{"ledger":4}"#),
+        Reply::Indeterminate
+    );
     let no_lease = r#"{"error":"no such lease"}"#;
-    assert_eq!(read(&request, 400, no_lease), Reply::LeaseExpired);
-    assert_eq!(read(&request, 400, r#"{"error":"bad"}"#), Reply::Rejected);
+    assert_eq!(reply_to(&request, 400, no_lease), Reply::LeaseExpired);
+    assert_eq!(
+        reply_to(&request, 400, r#"{"error":"bad"}"#),
+        Reply::Rejected
+    );
 }
 
 #[test]
@@ -172,14 +184,14 @@
     let lease_id = LeaseId(7);
     let grant = Request::GrantLease { ttl: Micros(1) };
     let granted = Reply::LeaseGranted(lease_id);
-    assert_eq!(read(&grant, 200, r#"{"tenure":7,"lifeMs":1}"#), granted);
+    assert_eq!(reply_to(&grant, 200, r#"{"tenure":7,"lifeMs":1}"#), granted);
     for request in [
         Request::RenewLease { lease_id },
         Request::RevokeLease { lease_id },
     ] {
-        assert_eq!(read(&request, 200, "{}"), Reply::Acknowledged);
-        assert_eq!(read(&request, 204, ""), Reply::Acknowledged);
-        assert_eq!(read(&request, 404, ""), Reply::LeaseExpired);
+        assert_eq!(reply_to(&request, 200, "{}"), Reply::Acknowledged);
+        assert_eq!(reply_to(&request, 204, ""), Reply::Acknowledged);
+        assert_eq!(reply_to(&request, 404, ""), Reply::LeaseExpired);
     }
 }
 
@@ -194,7 +206,7 @@
         Request::RenewLease { lease_id },
         Request::RevokeLease { lease_id },
     ] {
-        let reply = |status| read_reply(&request, status, b"");
+        let reply = |status| parse_reply(&request, status, b"");
         assert_eq!((reply(429), reply(503)), (Reply::Rejected, Reply::Rejected));
         assert_eq!(
             (reply(413), reply(500)),
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -1,24 +1,24 @@
-//! The names of all keys: they are made and parsed here and nowhere else.
+//! The names of all keys. No other module builds or parses a key.
 //!
-//! Keys outlive the code that wrote them, so the path segments keep the words that the
-//! first version used (`blocks` for partitions, `holder` for an owner). They must never
-//! change.
+//! Stored keys outlive the version that wrote them, so their path segments must never change.
+//! They keep the words of the first version, such as `blocks` for partitions and `holder` for
+//! an owner.
 
 use crate::ids::{JobId, Label, PartitionId};
 
-/// What every controller watches lies below this; ended jobs lie outside it,
-/// so that a watch or a restart never reads all of history.
+/// Prefix of all keys that every controller loads and watches. Records of ended jobs lie
+/// outside it, because they accumulate: a watch or a restart must not read all of them.
 pub const ROOT: &str = "r/";
 
-/// The last fencing term that was granted.
+/// Key of the last allocated fencing term.
 pub const TERM: &str = "r/term";
-/// The leader.
+/// Key of the leader record.
 pub const LEADER: &str = "r/leader";
-/// The machine types.
+/// Key of the list of machine types.
 pub const TYPES: &str = "r/types";
-/// The format level that every controller understands.
+/// Key of the highest format level that every controller understands.
 pub const FORMAT: &str = "r/format";
-/// The states of all zones.
+/// Key of the states of all zones.
 pub const ZONES: &str = "r/zones";
 
 const MEMBERS: &str = "members";
@@ -31,75 +31,76 @@
 const TEAM_USAGE: &str = "sums";
 const SCALE_OUTS: &str = "hires";
 
-/// A controller's membership.
+/// Returns the key of a controller's membership record.
 pub fn member(label: &Label) -> String {
     format!("{ROOT}{MEMBERS}/{label}")
 }
 
-/// A partition's owner.
+/// Returns the key of the record of a partition's owner.
 pub fn partition_owner(partition: PartitionId) -> String {
     format!("{ROOT}{PARTITIONS}/{partition}/{OWNER}")
 }
 
-/// A shard of a partition's machines, which don't fit one value.
+/// Returns the key of one shard of a partition's list of machines. The list is sharded because
+/// it can exceed the store's value size limit.
 pub fn shard(partition: PartitionId, number: u32) -> String {
     format!("{ROOT}{PARTITIONS}/{partition}/{SHARDS}/{number}")
 }
 
-/// A job that has not ended.
+/// Returns the key of the record of a live job, i.e. one that has not ended.
 pub fn job(id: &JobId) -> String {
     format!("{ROOT}{JOBS}/{id}")
 }
 
-/// A page of a job's progress.
+/// Returns the key of a page of a job's progress. Pages are numbered from 0.
 pub fn progress_page(id: &JobId, page: u32) -> String {
     format!("{ROOT}{PROGRESS}/{id}/{page:04}")
 }
 
-/// A job that has ended.
+/// Returns the key of the record of an ended job, which lies outside [`ROOT`].
 pub fn ended(id: &JobId) -> String {
     format!("{ENDED}/{id}")
 }
 
-/// The teams' usage in a controller's partitions.
+/// Returns the key of the teams' usage of the partitions that a controller owns.
 pub fn team_usage(label: &Label) -> String {
     format!("{ROOT}{TEAM_USAGE}/{label}")
 }
 
-/// A scale-out.
+/// Returns the key of the record of a scale-out.
 pub fn scale_out(name: &str) -> String {
     format!("{ROOT}{SCALE_OUTS}/{name}")
 }
 
-/// What a key below [`ROOT`] names.
+/// A parsed key below [`ROOT`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Key {
-    /// The last fencing term that was granted.
+    /// The last allocated fencing term.
     Term,
-    /// The leader.
+    /// The leader record.
     Leader,
-    /// The machine types.
+    /// The list of machine types.
     MachineTypes,
-    /// The format level that every controller understands.
+    /// The highest format level that every controller understands.
     Format,
     /// The states of all zones.
     Zones,
-    /// A controller's membership.
+    /// The membership record of a controller.
     Member(Label),
-    /// The teams' usage in a controller's partitions.
+    /// The teams' usage of the partitions that a controller owns.
     TeamUsage(Label),
-    /// A scale-out.
+    /// The record of a scale-out, by its name.
     ScaleOut(String),
-    /// A partition's owner.
+    /// The record of a partition's owner.
     PartitionOwner(PartitionId),
-    /// A shard of a partition's machines.
+    /// A shard of a partition's list of machines.
     Shard {
         /// The partition.
         partition: PartitionId,
         /// The shard's number within the partition.
         number: u32,
     },
-    /// A job that has not ended.
+    /// The record of a live job, i.e. one that has not ended.
     Job(JobId),
     /// A page of a job's progress.
     ProgressPage {
@@ -111,8 +112,8 @@
 }
 
 impl Key {
-    /// What a key names; none if it lies outside [`ROOT`] or if this version doesn't know
-    /// its kind.
+    /// Parses a key. Returns `None` if the key lies outside [`ROOT`] or is of a kind that this
+    /// version does not know.
     pub fn parse(key: &str) -> Option<Key> {
         match key {
             TERM => return Some(Key::Term),
--- a/src/store/keys/tests.rs
+++ b/src/store/keys/tests.rs
@@ -1,7 +1,10 @@
+//! Guards against changes to the form of stored keys: records written under an old key would no
+//! longer be found.
+
 use super::*;
 
 #[test]
-fn keys_keep_their_form_and_are_parsed_back_to_what_they_name() {
+fn keys_keep_their_stored_form_and_parse_back() {
     let (label, id) = (Label::from("c-1"), JobId::from("j-000412"));
     let (partition, number, page) = (PartitionId(3), 17, 2);
     let cases = [
@@ -41,15 +44,15 @@
             },
         ),
     ];
-    for (key, form, named) in cases {
-        assert_eq!(key, form);
-        assert_eq!(Key::parse(&key), Some(named), "{key}");
+    for (key, stored_form, parsed) in cases {
+        assert_eq!(key, stored_form);
+        assert_eq!(Key::parse(&key), Some(parsed), "{key}");
     }
     assert_eq!(ended(&id), "ended/j-000412");
 }
 
 #[test]
-fn keys_of_unknown_kinds_name_nothing() {
+fn malformed_keys_and_keys_of_unknown_kinds_are_not_parsed() {
     let unknown = [
         "",
         "r",
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,10 +1,9 @@
-//! The client of the consensus-backed key-value store: the only place where anything
-//! outlives a process.
+//! The client of the consensus-backed key-value store, which holds all state that must
+//! outlive a controller process.
 //!
-//! This module owns the requests and replies, the names of all keys, the share of the
-//! store's limits that this controller may use, and the HTTP requests that carry them. It
-//! must never know what a record means: the modules that own the records write and read
-//! them.
+//! This module defines the store's requests and replies, their HTTP form and the names of all
+//! keys. It keeps this controller within its share of the store's limits. Values are opaque
+//! JSON here: their format and meaning belong to the modules that define the records.
 
 pub mod client;
 pub mod keys;
@@ -21,5 +20,6 @@
 pub use reply::{KeyValue, Reply, Versioned, WatchEvent};
 pub use request::{Compare, Mutation, Request, RequestPriority};
 
-/// A compare-and-swap's records stay below this, in bytes; the store allows 64 KiB.
+/// Size of the records in one compare-and-swap, in bytes, above which callers add no further
+/// record to it. The store rejects a transaction above 64 KiB.
 pub const MAX_TRANSACTION_BYTES: usize = 40 * 1024;
--- a/src/store/reply.rs
+++ b/src/store/reply.rs
@@ -1,18 +1,18 @@
-//! What the store answers, and the changes that a watch reports.
+//! Replies of the store, and the changes that a watch reports.
 
 use crate::ids::{LeaseId, Revision};
 use serde::Deserialize;
 use serde_json::Value;
 
-/// A key with its value.
+/// A key with its value and revision.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct KeyValue {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Its value.
+    /// The value of the key.
     pub value: Value,
-    /// The revision of its last change.
+    /// The revision of the key's last change.
     #[serde(rename = "stamp")]
     pub revision: Revision,
 }
@@ -20,32 +20,33 @@
 /// The store's reply to a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
-    /// The requested key.
+    /// The requested key and its value.
     Value(KeyValue),
-    /// There is no such key.
+    /// The requested key does not exist.
     NotFound,
-    /// A page of keys.
+    /// A page of a listing.
     Page {
-        /// The keys of this page.
+        /// The keys of this page, in ascending order.
         entries: Vec<KeyValue>,
-        /// Whether there are more.
+        /// Whether further pages follow.
         more: bool,
-        /// The revision that it was read at.
+        /// The revision at which the page was read.
         revision: Revision,
     },
-    /// The compare-and-swap was carried out, at this revision.
+    /// The compare-and-swap was committed at this revision.
     Committed(Revision),
-    /// It was not: conditions on these keys failed.
+    /// The compare-and-swap was not applied, because the conditions on these keys failed.
     Conflict(Vec<String>),
-    /// The new lease.
+    /// A new lease was granted.
     LeaseGranted(LeaseId),
-    /// Done.
+    /// The lease was renewed or revoked.
     Acknowledged,
-    /// The lease named in a compare-and-swap or a renewal has ended.
+    /// The lease named in the request has expired or was revoked.
     LeaseExpired,
-    /// Surely not carried out (429, 503, no budget, no connection).
+    /// The request was not carried out. Causes include status 429, 503 or another 4xx, a used-up
+    /// request budget, an oversized value, or no connection.
     Rejected,
-    /// No reply: it may have been carried out, or may still be.
+    /// There was no valid reply. The request may have been carried out, or may still be.
     Indeterminate,
 }
 
@@ -64,10 +65,10 @@
     pub revision: Revision,
 }
 
-/// A record, with the revision of its key's last change.
+/// A record with the revision of its key's last change.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Versioned<T> {
-    /// The revision of its key's last change, 0 if there is no such key.
+    /// The revision of the key's last change; 0 if the key does not exist.
     pub revision: Revision,
     /// The record.
     pub record: T,
--- a/src/store/request.rs
+++ b/src/store/request.rs
@@ -5,25 +5,25 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// A condition: the key's last change must be this one; revision 0: no such key.
+/// A condition of a compare-and-swap on the revision of a key's last change.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Compare {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
-    /// The expected revision of the key's last change.
+    /// The expected revision of the key's last change; 0 if the key must not exist.
     #[serde(rename = "stamp")]
     pub revision: Revision,
 }
 
 impl Compare {
-    /// The condition that this is the revision of a key's last change.
+    /// Creates the condition that `key` was last changed at `revision`.
     pub fn new(key: String, revision: Revision) -> Compare {
         Compare { key, revision }
     }
 }
 
-/// One change of a compare-and-swap.
+/// One change in a compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Mutation {
@@ -32,9 +32,10 @@
         /// The key.
         #[serde(rename = "set")]
         key: String,
-        /// Its new value.
+        /// The key's new value.
         value: Value,
-        /// The lease that it is attached to.
+        /// The lease that the key is attached to, if any. The store deletes the key when the
+        /// lease ends.
         #[serde(rename = "tenure", skip_serializing_if = "Option::is_none")]
         lease_id: Option<LeaseId>,
     },
@@ -46,27 +47,27 @@
     },
 }
 
-/// A value that is too large to be written.
+/// A value that exceeds the store's size limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct OversizedValue<'a> {
-    /// The key that it was meant for.
+    /// The key of the value.
     pub(super) key: &'a str,
-    /// Its size as JSON, in bytes.
+    /// The size of the value as JSON, in bytes.
     pub(super) bytes: usize,
 }
 
 impl Mutation {
-    /// Sets a key that is attached to no lease.
+    /// Creates a mutation that sets a key without a lease.
     pub fn put(key: String, value: &impl Serialize) -> Mutation {
         Mutation::set(key, value, None)
     }
 
-    /// Sets a key that is deleted when the lease ends.
+    /// Creates a mutation that sets a key which is deleted when the lease ends.
     pub fn put_with_lease(key: String, value: &impl Serialize, lease_id: LeaseId) -> Mutation {
         Mutation::set(key, value, Some(lease_id))
     }
 
-    /// Deletes a key.
+    /// Creates a mutation that deletes a key.
     pub fn delete(key: String) -> Mutation {
         Mutation::Delete { key }
     }
@@ -79,14 +80,13 @@
         }
     }
 
-    /// The key that is changed.
     fn key(&self) -> &str {
         match self {
             Mutation::Set { key, .. } | Mutation::Delete { key } => key,
         }
     }
 
-    /// The new value, if it is larger than this.
+    /// Returns the new value if its size exceeds `max_bytes`.
     fn oversized_value(&self, max_bytes: usize) -> Option<OversizedValue<'_>> {
         let Mutation::Set { key, value, .. } = self else {
             return None;
@@ -104,23 +104,23 @@
         /// The key.
         key: String,
     },
-    /// Reads a page of the keys that begin alike.
+    /// Reads a page of the keys with a common prefix.
     List {
-        /// What they begin with.
+        /// The prefix of the keys.
         prefix: String,
-        /// The last key of the page before.
+        /// The last key of the previous page; `None` for the first page.
         start_after: Option<String>,
     },
-    /// Changes keys at once, if all conditions hold.
+    /// Applies all mutations atomically if all conditions hold.
     CompareAndSwap {
-        /// What must hold.
+        /// The conditions that must hold.
         compares: Vec<Compare>,
-        /// What is changed if it does.
+        /// The mutations to apply.
         mutations: Vec<Mutation>,
     },
     /// Grants a new lease.
     GrantLease {
-        /// How long it is valid without a renewal.
+        /// Time after which the lease expires unless it is renewed.
         ttl: Micros,
     },
     /// Renews a lease.
@@ -143,18 +143,20 @@
         }
     }
 
-    /// How many of the store's writes it uses up.
+    /// Returns the number of mutations, each of which counts against the store's write rate
+    /// limit.
     pub(super) fn write_count(&self) -> usize {
         self.mutations().len()
     }
 
-    /// The first value that is larger than this.
+    /// Returns the first value whose size exceeds `max_bytes`.
     pub(super) fn oversized_value(&self, max_bytes: usize) -> Option<OversizedValue<'_>> {
         let mut mutations = self.mutations().iter();
         mutations.find_map(|mutation| mutation.oversized_value(max_bytes))
     }
 
-    /// The keys that it reads or changes; for a page, their prefix.
+    /// Returns the keys that the request reads or changes, or the prefix for a listing. Requests
+    /// about leases have no keys.
     pub(super) fn keys(&self) -> Vec<&str> {
         match self {
             Request::Get { key } => vec![key],
@@ -169,14 +171,14 @@
     }
 }
 
-/// Which requests go first when the budget is short.
+/// Priority of a request when this controller's request budget is nearly used up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPriority {
-    /// Leases and grants: without them nothing else may be done.
+    /// Requests about leases and grants, without which this controller may do nothing else.
     Critical,
-    /// A user or a machine waits.
+    /// Requests that a user or a machine waits for.
     Normal,
-    /// What can be done a little later.
+    /// Requests that can be deferred.
     Background,
 }
 
--- a/src/store/request/tests.rs
+++ b/src/store/request/tests.rs
@@ -1,9 +1,11 @@
+//! Guards against sending a value that the store would reject for its size.
+
 use super::*;
 
 #[test]
-fn a_value_above_the_limit_is_found_before_it_is_sent() {
+fn a_value_above_the_size_limit_is_detected() {
     let set = |length: usize| Mutation::put(format!("a/{length}"), &"x".repeat(length));
-    // The quotes count.
+    // The JSON quotes count, too: a string of 1,998 characters takes 2,000 bytes.
     let mutations = vec![Mutation::delete("a/0".into()), set(1_998), set(1_999)];
     let request = Request::CompareAndSwap {
         compares: Vec::new(),
--- a/src/store/request_budget.rs
+++ b/src/store/request_budget.rs
@@ -1,4 +1,5 @@
-//! This controller's share of the store's limits, and which requests may use it first.
+//! The budget of this controller's requests to the store: its share of the store's rate limits,
+//! with a part reserved for requests of higher priority.
 
 use super::adaptive_token_bucket::{AdaptiveTokenBucket, RateBounds};
 use super::request::RequestPriority;
@@ -6,21 +7,25 @@
 use crate::clock::Micros;
 use crate::settings::StateLimits;
 
-/// Controllers rarely need their share all at once, and what exceeds the limit is
-/// rejected and retried: each may use so many shares.
-const OVERBOOKING_FACTOR: f64 = 2.0;
-/// The share of all writes that one controller may come to use while the others leave it.
+/// Factor by which each controller may exceed its even share of the store's limits. Controllers
+/// rarely need their shares at the same time, and requests above the limit are rejected and
+/// retried.
+const OVERCOMMIT_FACTOR: f64 = 2.0;
+/// Maximum fraction of the store's write rate limit that one controller may use while the other
+/// controllers leave it unused.
 const MAX_WRITE_SHARE: f64 = 0.85;
 
-/// Renewals are never held back here: they may leave the budget in debt.
+/// Reserve for critical requests, such as lease renewals. It is negative so that they are not
+/// held back in practice: the budget may go into debt by up to one second's tokens.
 const CRITICAL_RESERVE: f64 = -1.0;
-/// What normal requests leave of the burst for critical ones.
+/// Fraction of the burst that normal requests leave for critical ones.
 const NORMAL_RESERVE: f64 = 0.1;
-/// What background requests leave of the burst for all others.
+/// Fraction of the burst that background requests leave for all others.
 const BACKGROUND_RESERVE: f64 = 0.35;
 
 impl RequestPriority {
-    /// The share of the burst that must be left for requests of higher priority.
+    /// Returns the fraction of the burst that a request must leave for requests of higher
+    /// priority.
     fn reserve(self) -> f64 {
         match self {
             RequestPriority::Critical => CRITICAL_RESERVE,
@@ -30,16 +35,17 @@
     }
 }
 
-/// The requests and the writes that this controller may send.
+/// Rate limits on the requests and the writes of this controller.
 pub(super) struct RequestBudget {
     requests: TokenBucket,
     writes: AdaptiveTokenBucket,
 }
 
 impl RequestBudget {
-    /// The budget of a controller that `share` (from 0 to 1) of the store's limits is for.
+    /// Creates the budget of a controller whose share of the store's limits is `share`, from 0
+    /// to 1.
     pub(super) fn new(limits: &StateLimits, share: f64, now: Micros) -> Self {
-        let usable_share = (share * OVERBOOKING_FACTOR).min(1.0);
+        let usable_share = (share * OVERCOMMIT_FACTOR).min(1.0);
         let lowest_write_rate = limits.lowest_write_rps();
         let write_rate = RateBounds {
             min: lowest_write_rate * usable_share,
@@ -52,7 +58,8 @@
         }
     }
 
-    /// Takes one request with this many writes from the budget, if it allows them now.
+    /// Takes one request with `writes` mutations from the budget. Returns `false` if the budget
+    /// does not allow the request now.
     pub(super) fn admit(&mut self, now: Micros, priority: RequestPriority, writes: usize) -> bool {
         let reserve = priority.reserve();
         if writes > 0 && !self.writes.take(now, writes as f64, reserve) {
@@ -61,7 +68,7 @@
         self.requests.take(now, 1.0, reserve)
     }
 
-    /// The store has rejected writes for its limit.
+    /// Records that the store rejected writes for its rate limit.
     pub(super) fn record_write_rejection(&mut self, now: Micros) {
         self.writes.record_rejection(now);
     }
--- a/src/store/token_bucket.rs
+++ b/src/store/token_bucket.rs
@@ -1,22 +1,22 @@
-//! A rate limit: a bucket of tokens that refills steadily.
+//! A token bucket with a constant refill rate.
 
 use crate::clock::Micros;
 
-/// Differences in tokens below this come from rounding.
+/// Tolerance for floating-point rounding errors, in tokens.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// A bucket that refills at a steady rate; burst: one second's worth.
+/// A token bucket whose burst, i.e. its capacity, is one second's tokens, but at least one token.
 #[derive(Debug)]
 pub struct TokenBucket {
-    /// In tokens per second.
+    /// Refill rate, in tokens per second.
     rate: f64,
-    /// Below zero while it is in debt.
+    /// Available tokens; negative while the bucket is in debt.
     tokens: f64,
     refilled_at: Micros,
 }
 
 impl TokenBucket {
-    /// A full bucket of this rate, in tokens per second.
+    /// Creates a full bucket that refills at `rate` tokens per second.
     pub fn new(rate: f64, now: Micros) -> Self {
         TokenBucket {
             rate,
@@ -25,12 +25,12 @@
         }
     }
 
-    /// The rate at which it refills, in tokens per second.
+    /// Returns the refill rate, in tokens per second.
     pub(super) fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Refills at the old rate up to now, and at this rate from now on.
+    /// Sets the refill rate from `now` on. The time before `now` is refilled at the old rate.
     pub(super) fn set_rate(&mut self, now: Micros, rate: f64) {
         self.refill(now);
         self.rate = rate;
@@ -42,12 +42,13 @@
         self.refilled_at = now;
     }
 
-    /// Takes `count` tokens if that leaves `reserve` (a share of the burst, from 0 to 1)
-    /// for other requests. A negative reserve allows a debt.
+    /// Takes `count` tokens if this leaves the fraction `reserve` of the burst, at most 1, for
+    /// other requests. Returns whether the tokens were taken. A negative reserve lets the bucket
+    /// go into debt.
     pub fn take(&mut self, now: Micros, count: f64, reserve: f64) -> bool {
         self.refill(now);
-        // More than the bucket ever holds for this may be taken at once, as a debt:
-        // or what is larger than that would wait for ever.
+        // A request for more tokens than a full bucket has above the reserve is admitted once
+        // the bucket is full, and leaves a debt. Otherwise the request would never be admitted.
         let max_needed = (1.0 - reserve).min(1.0) * self.rate;
         if self.tokens - count.min(max_needed) < reserve * self.rate - ROUNDING_TOLERANCE {
             return false;
--- a/src/store/token_bucket/tests.rs
+++ b/src/store/token_bucket/tests.rs
@@ -1,3 +1,6 @@
+//! Guards against critical requests that an empty bucket holds back, and against requests for more
+//! tokens than the bucket's capacity, which would otherwise never be admitted.
+
 use super::*;
 
 #[test]
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -1,4 +1,5 @@
-//! How a controller follows the store: one full reading, then the changes after it.
+//! Reads and watches of the store, by which a controller keeps its cache up to date. It loads
+//! all keys once, and then requests the changes after the revision of that read.
 
 use super::client::KvClient;
 use super::http::{REVISION_COMPACTED, WatchBody, watch_request};
@@ -8,39 +9,41 @@
 use crate::ids::Revision;
 use std::time::Duration;
 
-/// A watch answers within this if nothing changes. Short: a user's query is answered by
-/// the first reading begun after it came.
+/// Time after which the store answers a watch if nothing changes. It is short, because a user's
+/// query is answered only from a read that was sent after the query arrived.
 const WATCH_WAIT: Duration = Duration::from_millis(300);
-/// A watch without an answer for so long is given up: in an outage watches stay open.
+/// Timeout of a watch. During an outage of the store, watches stay open without a response.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1_800);
 
-/// A full reading of the keys below [`ROOT`].
+/// The result of reading all keys below [`ROOT`].
 pub struct LoadedKeys {
-    /// The keys, in their order.
+    /// The keys, in ascending order.
     pub entries: Vec<KeyValue>,
-    /// The revision after which a watch must begin: that of the first page. It repeats
-    /// changes that the later pages hold already, which are idempotent; a watch from the
-    /// last page's revision would lose changes of the first pages' keys.
+    /// The revision of the first page, after which a watch must begin. Such a watch repeats
+    /// changes that later pages already contain, which is harmless because applying a change
+    /// is idempotent. A watch from the last page's revision would miss changes to keys of
+    /// earlier pages.
     pub revision: Revision,
 }
 
 /// The result of a watch.
 pub enum WatchResponse {
-    /// The changes, in their order.
+    /// The changes since the requested revision.
     Events {
-        /// The changes.
+        /// The changes, in the order in which they were committed.
         events: Vec<WatchEvent>,
-        /// The revision that they reach.
+        /// The revision up to which all changes are included.
         revision: Revision,
     },
-    /// The store no longer keeps the changes since then: all must be read again.
+    /// The store has compacted changes after the requested revision, so all keys must be loaded
+    /// again.
     Compacted,
-    /// No answer.
+    /// The budget did not allow the watch, or there was no valid response.
     Failed,
 }
 
 impl KvClient {
-    /// Reads everything below [`ROOT`]; none if the store can't be read now.
+    /// Reads all keys below [`ROOT`]. Returns `None` if the read of a page fails.
     pub async fn load_all(&self) -> Option<LoadedKeys> {
         let mut entries = Vec::new();
         let mut start_after = None;
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Waits up to `WATCH_WAIT` for changes after a revision.
+    /// Waits up to `WATCH_WAIT` for changes after the revision `since`.
     pub async fn watch(&self, since: Revision) -> WatchResponse {
         if !self.admit(RequestPriority::Critical, 0) {
             return WatchResponse::Failed;
