--- a/src/api/answers.rs
+++ b/src/api/answers.rs
@@ -1,7 +1,6 @@
-//! The answers to users and workers, and their form in HTTP.
+//! The answers to users and workers, and their mapping to HTTP status, headers and JSON bodies.
 //!
-//! Owns the mapping to status, headers and JSON. The texts and the names in the bodies are
-//! the protocol: they must never change.
+//! The texts and field names in the bodies are part of the protocol and must never change.
 
 use super::read_index::JobLookup;
 use crate::ids::{JobId, Label};
@@ -12,19 +11,19 @@
 use salvo::prelude::Response;
 use serde_json::{Value, json};
 
-/// When a user should retry what can't be answered now, in seconds.
+/// Seconds after which a user should retry a request that cannot be answered now.
 const RETRY_AFTER_S: HeaderValue = HeaderValue::from_static("1");
 
-/// Why a user's request is rejected for good.
+/// The reason why a user's request is rejected permanently.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub(super) enum ApiError {
-    /// It can't be read, or a field is missing or invalid.
+    /// The request cannot be parsed, or a field is missing or invalid.
     #[error("{0}")]
     Malformed(String),
-    /// There is no such job.
+    /// The job in the request does not exist.
     #[error("no such job")]
     UnknownJob,
-    /// It can never run here.
+    /// The submitted job can never run on this cluster.
     #[error("{0}")]
     NeverRuns(String),
 }
@@ -48,7 +47,7 @@
     }
 }
 
-/// How many tasks of a job are done and how many run.
+/// The numbers of done and of running tasks of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct TaskCounts {
     pub(super) done: u32,
@@ -58,33 +57,33 @@
 /// The answer to a user's request.
 #[derive(Debug, PartialEq)]
 pub(super) enum UserAnswer {
-    /// The request was carried out: the job is in this state.
+    /// The request was carried out, and the job is in this state.
     Job {
         status: StatusCode,
         id: JobId,
         state: JobState,
         counts: Option<TaskCounts>,
     },
-    /// Final: a retry does not help.
+    /// The request was rejected permanently, so a retry has the same outcome.
     Rejected(ApiError),
-    /// Can't be decided or accepted now: the user should retry.
+    /// The request cannot be decided or accepted now, for this reason. The user should retry.
     Unavailable(&'static str),
 }
 
-/// The answer while the store can't be reached.
+/// The answer to a user while the key-value store cannot be reached.
 pub(super) const STORE_UNREACHABLE: UserAnswer =
     UserAnswer::Unavailable("the state service can't be reached");
 
 impl UserAnswer {
-    /// A submission that is rejected for good.
+    /// Logs and returns the permanent rejection of a submission.
     pub(super) fn rejected_submission(error: impl Into<SubmissionError>) -> Self {
         let error = error.into();
         tracing::info!(%error, "submission rejected");
         UserAnswer::Rejected(error.into())
     }
 
-    /// The state of a job that is known to have been accepted: then a lookup that does not
-    /// find it must not be answered with "no such job".
+    /// Returns the state of a job that is known to have been accepted. A lookup that does not
+    /// find the job is therefore answered as unavailable, never with "no such job".
     pub(super) fn known_job(lookup: JobLookup, id: &JobId) -> Self {
         match lookup {
             JobLookup::Live {
@@ -103,7 +102,7 @@
         }
     }
 
-    /// The state of an ended job.
+    /// Returns the state of an ended job.
     pub(super) fn ended_job(record: &EndedRecord, id: &JobId) -> Self {
         let done = match record.state {
             JobState::Done => record.tasks,
@@ -154,13 +153,14 @@
 /// The answer to a worker's heartbeat.
 #[derive(Debug, PartialEq)]
 pub(super) enum WorkerAnswer {
-    /// The fencing token and the commands.
+    /// The heartbeat was accepted: the fencing token and the commands for the worker.
     Accepted(HeartbeatResponse),
-    /// The heartbeat can't be read.
+    /// The heartbeat cannot be parsed, for this reason.
     Malformed(&'static str),
-    /// The controller that owns the machine's partition.
+    /// The machine's partition belongs to this controller, to which the worker should send its
+    /// heartbeats.
     Redirect(Label),
-    /// The heartbeat can't be answered here now.
+    /// This controller cannot answer the heartbeat now, for this reason.
     Unavailable(&'static str),
 }
 
@@ -196,6 +196,6 @@
     response
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    // It fails only where the response has a body already.
+    // Fails only if the response already has a body.
     let _ = response.write_body(body.to_string());
 }
--- a/src/api/cancellations.rs
+++ b/src/api/cancellations.rs
@@ -1,7 +1,6 @@
 //! The endpoint that cancels a job.
 //!
-//! A cancellation is an idempotent request: a repeat is answered with the state in which the
-//! job ended.
+//! A cancellation is idempotent: a repeat is answered with the state in which the job ended.
 
 use super::answers::{ApiError, STORE_UNREACHABLE, UserAnswer};
 use super::context::{ApiContext, MAX_WRITE_ATTEMPTS, job_in_path};
@@ -14,7 +13,7 @@
 use salvo::http::StatusCode;
 use salvo::prelude::{Request, Response, handler};
 
-/// `POST /v1/jobs/{id}/abort`.
+/// Handler of `POST /v1/jobs/{id}/abort`.
 pub(super) struct CancelHandler(pub(super) ApiContext);
 
 #[handler]
@@ -26,7 +25,7 @@
 }
 
 impl ApiContext {
-    /// Cancels a job, unless it ended before.
+    /// Cancels a job. If the job has ended before, returns the state in which it ended.
     pub(super) async fn cancel(&self, id: &str) -> UserAnswer {
         let id = JobId::from(id);
         if !id.is_well_formed() {
@@ -54,7 +53,7 @@
             };
             match self.execute(cancellation(&id, revision, &ended)).await {
                 Reply::Committed(revision) => return self.cancelled(id, revision),
-                // Another write came first: the job has ended, or its record has changed.
+                // Another write was committed first: the job has ended, or its record changed.
                 Reply::Conflict(_) => {}
                 _ => return STORE_UNREACHABLE,
             }
@@ -62,12 +61,14 @@
         UserAnswer::Unavailable("the job changes too often just now")
     }
 
-    /// The store has committed a cancellation at this revision.
+    /// Notifies the controller of a cancellation that the store committed at `revision`, and
+    /// returns the answer to the user.
     fn cancelled(&self, id: JobId, revision: Revision) -> UserAnswer {
         let job = id.clone();
-        // If the queue is full, the owner of the job's partition reads it from the store.
+        // If the queue is full, the notification is dropped: the owner of the job's partition
+        // learns of the cancellation from its watch of the store.
         let notification = CancelledJob { job, revision };
-        let _ = self.ports.cancellations.try_send(notification);
+        let _ = self.channels.cancellations.try_send(notification);
         UserAnswer::Job {
             status: StatusCode::OK,
             id,
@@ -77,7 +78,7 @@
     }
 }
 
-/// The compare-and-swap that ends a job whose record was read at `revision`.
+/// Returns the compare-and-swap that ends a job whose record was read at `revision`.
 fn cancellation(id: &JobId, revision: Revision, ended: &EndedRecord) -> store::Request {
     store::Request::CompareAndSwap {
         compares: vec![
--- a/src/api/connection_limiter.rs
+++ b/src/api/connection_limiter.rs
@@ -1,8 +1,9 @@
-//! Admission of connections to the address for users and workers.
+//! Admission control for connections to the address for users and workers.
 //!
-//! Owns how many connections are open, which new ones are rejected, and when a worker should
-//! close its connection instead of keeping it alive. It must never let the connections use up
-//! the sockets that the controller needs for the store, the cloud and direct commands.
+//! This module counts the open connections, rejects new ones above the limits, and decides when
+//! workers' connections are closed instead of kept alive. Connections of users and workers must
+//! never use up the sockets that the controller needs for the store, the cloud and direct
+//! commands.
 
 use crate::settings::Settings;
 use crate::settings::sockets::SocketShares;
@@ -13,43 +14,45 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// A connection that is idle for so many heartbeat intervals of a worker is closed.
-const IDLE_HEARTBEATS: f64 = 5.0;
-/// No connection is closed for being idle before this, in seconds.
+/// Idle timeout of a connection, in heartbeat intervals of a worker.
+const IDLE_TIMEOUT_HEARTBEATS: f64 = 5.0;
+/// Minimum idle timeout of a connection, in seconds.
 const MIN_IDLE_TIMEOUT_S: f64 = 30.0;
-/// New connections are counted by windows of this length, in seconds. One from before the
-/// last window that has sent no request since will hardly send one: its sender gave up, or
-/// stands still.
+/// Length of the windows by which unanswered connections are counted, in seconds. An unanswered
+/// connection no longer counts if it was opened before the previous window. It is unlikely to
+/// send a request, because its client has timed out or is paused.
 const WINDOW_S: u64 = 4;
 
-/// Admits connections up to a limit. Clones share their counts.
+/// Admits connections up to the limits in [`SocketShares`]. Clones share their counts.
 #[derive(Clone)]
 pub struct ConnectionLimiter {
+    /// Number of open connections.
     open: Arc<AtomicUsize>,
-    /// Of the open ones, those whose first request has no answer yet.
-    pending: Arc<PendingConnections>,
+    /// Open connections whose first request has not been answered.
+    unanswered: Arc<UnansweredConnections>,
     started_at: Instant,
     max_open: usize,
-    /// With more open ones, workers should not keep theirs alive.
-    max_open_kept_alive: usize,
-    max_pending: usize,
+    /// Number of open connections above which workers' connections are not kept alive.
+    worker_close_threshold: usize,
+    max_unanswered: usize,
     config: FuseConfig,
 }
 
-/// The connections that wait for their first answer, of the current window and the one
-/// before it. Those of earlier windows no longer count.
+/// The numbers of unanswered connections that were opened in the current and in the previous
+/// window. Connections from earlier windows are not counted.
 #[derive(Default)]
-struct PendingConnections {
+struct UnansweredConnections {
     current_window: AtomicU64,
     counts: [AtomicUsize; 2],
 }
 
-impl PendingConnections {
+impl UnansweredConnections {
     fn count_of(&self, window: u64) -> &AtomicUsize {
         &self.counts[(window % 2) as usize]
     }
 
-    /// Begins a window, if it is a later one, and forgets those that are too old.
+    /// Begins `window` if it is later than the current one, and resets the counts of windows
+    /// before the previous one.
     fn begin_window(&self, window: u64) {
         let previous = self.current_window.swap(window, Ordering::Relaxed);
         let passed = window - previous.min(window);
@@ -66,7 +69,7 @@
         self.count_of(window).fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Removes a connection that was opened in an earlier window, unless it no longer counts.
+    /// Removes a connection that was opened in the window `opened_in`, if it is still counted.
     fn remove(&self, opened_in: u64, window: u64) {
         self.begin_window(window);
         if window <= opened_in + 1 {
@@ -81,7 +84,7 @@
     }
 }
 
-/// An open connection; its drop closes it.
+/// An open connection. Dropping it removes the connection from the counts.
 struct OpenConnection {
     connection_limiter: ConnectionLimiter,
     opened_in: u64,
@@ -89,52 +92,54 @@
 }
 
 impl OpenConnection {
-    fn handle_first_answer(&self) {
+    fn record_first_answer(&self) {
         if !self.is_answered.swap(true, Ordering::Relaxed) {
             let window = self.connection_limiter.window();
-            let pending = &self.connection_limiter.pending;
-            pending.remove(self.opened_in, window);
+            let unanswered = &self.connection_limiter.unanswered;
+            unanswered.remove(self.opened_in, window);
         }
     }
 }
 
 impl ConnObserver for OpenConnection {
     fn on_write(&self, _: usize) {
-        self.handle_first_answer();
+        self.record_first_answer();
     }
 }
 
 impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.handle_first_answer();
+        self.record_first_answer();
         self.connection_limiter.open.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl ConnectionLimiter {
-    /// A limiter with the limits of `sockets`, without connections.
+    /// Creates a limiter with the limits of `sockets` and without open connections.
     pub fn new(settings: &Settings, sockets: &SocketShares) -> Self {
         let heartbeat_interval_s = settings.platform.workers.heartbeat_interval_s;
-        let idle_timeout_s = (heartbeat_interval_s * IDLE_HEARTBEATS).max(MIN_IDLE_TIMEOUT_S);
-        // Guards against sockets lost to machines that died or are isolated: they never
-        // close what they had open, and come back on another connection.
+        let idle_timeout_s =
+            (heartbeat_interval_s * IDLE_TIMEOUT_HEARTBEATS).max(MIN_IDLE_TIMEOUT_S);
+        // Machines that failed or are isolated never close their connections, and reconnect on
+        // new ones. Without the idle timeout, their old sockets would stay in use.
         let idle_timeout = Duration::from_secs_f64(idle_timeout_s);
         ConnectionLimiter {
             open: Arc::default(),
-            pending: Arc::default(),
+            unanswered: Arc::default(),
             started_at: Instant::now(),
             max_open: sockets.max_served,
-            max_open_kept_alive: sockets.worker_close_threshold,
-            max_pending: sockets.max_unanswered,
+            worker_close_threshold: sockets.worker_close_threshold,
+            max_unanswered: sockets.max_unanswered,
             config: FuseConfig::default()
                 .with_connection_idle_timeout(idle_timeout)
                 .with_write_stall_timeout(idle_timeout),
         }
     }
 
-    /// Whether so many connections are open that workers should not keep theirs alive.
+    /// Returns whether more connections are open than the threshold above which workers'
+    /// connections are not kept alive.
     pub fn is_near_limit(&self) -> bool {
-        self.open.load(Ordering::Relaxed) > self.max_open_kept_alive
+        self.open.load(Ordering::Relaxed) > self.worker_close_threshold
     }
 
     fn window(&self) -> u64 {
@@ -142,15 +147,17 @@
     }
 
     fn admit(&self) -> FuseAction {
-        // Guards against an accept that fails for want of a socket: the store, the
-        // cloud and direct commands would fail with it, and nobody would be rejected.
+        // Connections are rejected before the process runs out of sockets. Without sockets,
+        // `accept` would fail and nobody would be rejected. Connections to the store, to the
+        // cloud and for direct commands would fail, too.
         if self.open.load(Ordering::Relaxed) >= self.max_open {
             return FuseAction::Reject;
         }
-        // Guards against a retry storm that feeds itself: thousands of workers that connect
-        // at once would all be answered after they gave up, and connect again. As many as
-        // can be answered in time are admitted; a rejection costs little.
-        if self.pending.count(self.window()) >= self.max_pending {
+        // Prevents a self-sustaining retry storm. If thousands of workers connect at the same
+        // time, all of them would be answered after their timeout, and would connect again.
+        // Therefore only as many connections are admitted as can be answered in time. Rejecting
+        // a connection costs little.
+        if self.unanswered.count(self.window()) >= self.max_unanswered {
             return FuseAction::Reject;
         }
         FuseAction::Accept(self.config)
@@ -159,7 +166,7 @@
     fn open(&self) -> OpenConnection {
         let opened_in = self.window();
         self.open.fetch_add(1, Ordering::Relaxed);
-        self.pending.add(opened_in);
+        self.unanswered.add(opened_in);
         OpenConnection {
             connection_limiter: self.clone(),
             opened_in,
--- a/src/api/connection_limiter/tests.rs
+++ b/src/api/connection_limiter/tests.rs
@@ -13,8 +13,9 @@
     connection
 }
 
+/// Guards against sockets used up by users and workers.
 #[test]
-fn at_the_limit_new_connections_are_rejected_and_near_it_workers_do_not_keep_theirs() {
+fn connections_are_rejected_at_the_limit_and_workers_are_not_kept_alive_near_it() {
     let (connection_limiter, sockets) = connection_limiter();
     let mut connections: Vec<OpenConnection> = (0..=sockets.worker_close_threshold)
         .map(|_| answered(&connection_limiter))
@@ -34,6 +35,8 @@
     assert!(!connection_limiter.is_near_limit());
 }
 
+/// Guards against a retry storm: workers that connect at the same time would all be answered
+/// after their timeout, and would connect again.
 #[test]
 fn no_more_connections_are_admitted_at_once_than_can_be_answered_in_time() {
     let (connection_limiter, sockets) = connection_limiter();
@@ -46,33 +49,37 @@
     connections[0].on_write(1);
     assert!(matches!(connection_limiter.admit(), FuseAction::Accept(_)));
 
-    // One that is closed without an answer makes room, too; the answered one only once.
+    // A connection that is closed without an answer is removed from the count, too. The
+    // answered connection is not removed a second time when it is closed.
     connections.push(connection_limiter.open());
     assert_eq!(connection_limiter.admit(), FuseAction::Reject);
     connections.clear();
     let window = connection_limiter.window();
-    assert_eq!(connection_limiter.pending.count(window), 0);
+    assert_eq!(connection_limiter.unanswered.count(window), 0);
 }
 
+/// Guards against clients that connect and send no request, and so use up the limit on
+/// unanswered connections.
 #[test]
-fn connections_that_send_no_request_keep_others_out_for_two_windows_at_most() {
-    let pending = PendingConnections::default();
+fn connections_without_a_request_count_against_the_limit_for_two_windows_at_most() {
+    let unanswered = UnansweredConnections::default();
     for _ in 0..5 {
-        pending.add(7);
+        unanswered.add(7);
     }
-    pending.add(8);
-    assert_eq!(pending.count(8), 6);
-    pending.remove(7, 8);
-    assert_eq!(pending.count(8), 5);
+    unanswered.add(8);
+    assert_eq!(unanswered.count(8), 6);
+    unanswered.remove(7, 8);
+    assert_eq!(unanswered.count(8), 5);
 
-    // The four that still send nothing no longer count, nor does their end.
-    assert_eq!(pending.count(9), 1);
-    pending.remove(7, 9);
-    pending.remove(8, 9);
-    assert_eq!(pending.count(9), 0);
+    // The four unanswered connections of window 7 no longer count, and closing them changes
+    // nothing.
+    assert_eq!(unanswered.count(9), 1);
+    unanswered.remove(7, 9);
+    unanswered.remove(8, 9);
+    assert_eq!(unanswered.count(9), 0);
 
-    pending.add(9);
-    assert_eq!(pending.count(30), 0);
-    pending.remove(9, 30);
-    assert_eq!(pending.count(30), 0);
+    unanswered.add(9);
+    assert_eq!(unanswered.count(30), 0);
+    unanswered.remove(9, 30);
+    assert_eq!(unanswered.count(30), 0);
 }
--- a/src/api/context.rs
+++ b/src/api/context.rs
@@ -1,8 +1,8 @@
-//! What all endpoints share: the settings, the clock, the channels to the controller, and
-//! the requests that are sent over them.
+//! The context that all endpoints share: the settings, the clock, the channels to the
+//! controller, and the requests that are sent over these channels.
 //!
-//! Owns the timeouts of these requests. A full channel is never waited for: the request is
-//! refused at once, and the answer says when to retry.
+//! This module defines the timeouts of the requests. If a channel is full, the request is refused
+//! immediately instead of waiting, and the answer says when to retry.
 
 use super::ports::{ApiChannels, StatusQuery, StoreQuery};
 use super::read_index::JobLookup;
@@ -16,32 +16,33 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// A request body may be at most this long.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// What is wrong with a body that can't be read.
+/// Error text for a request body that cannot be read.
 pub(super) const UNREADABLE_BODY: &str = "the body is over 64 KiB or broken off";
-/// How often a write is attempted that conflicts with someone else's changes.
+/// Maximum number of attempts of a write that conflicts with concurrent writes.
 pub(super) const MAX_WRITE_ATTEMPTS: usize = 4;
-/// How long the store may take for a request.
+/// Timeout of a request to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_600);
-/// How long a lookup of a job may take. Longer than the read index keeps one pending.
+/// Timeout of a lookup of a job. It is longer than the time for which the read index keeps a
+/// lookup pending, so that the read index answers first.
 const JOB_LOOKUP_TIMEOUT: Duration = Duration::from_millis(1_900);
 
-/// What all endpoints share.
+/// The settings, clock and channels that all endpoints share.
 #[derive(Clone)]
 pub(super) struct ApiContext {
     pub(super) settings: Arc<Settings>,
     pub(super) clock: MonotonicClock,
-    pub(super) ports: ApiChannels,
+    pub(super) channels: ApiChannels,
 }
 
 impl ApiContext {
-    /// Has the store carry out a request. Rejected: it was not sent; indeterminate: no reply
-    /// came in time.
+    /// Sends a request to the store through the controller. Returns [`Reply::Rejected`] if the
+    /// channel is full, and [`Reply::Indeterminate`] if there is no reply in time.
     pub(super) async fn execute(&self, request: store::Request) -> Reply {
         let (answer, reply) = oneshot::channel();
         let query = StoreQuery { request, answer };
-        if self.ports.store_queries.try_send(query).is_err() {
+        if self.channels.store_queries.try_send(query).is_err() {
             return Reply::Rejected;
         }
         match timeout(STORE_TIMEOUT, reply).await {
@@ -50,13 +51,13 @@
         }
     }
 
-    /// Looks up a job by a linearizable read: a cache that lags might give an older state
-    /// than one that some controller has answered with before.
+    /// Looks up a job by a linearizable read. A cache that lags could give an older state than
+    /// one that another controller has already answered with.
     pub(super) async fn look_up_job(&self, id: &JobId) -> JobLookup {
         let (answer, lookup) = oneshot::channel();
         let id = id.clone();
         let query = StatusQuery { id, answer };
-        if self.ports.status_queries.try_send(query).is_err() {
+        if self.channels.status_queries.try_send(query).is_err() {
             return JobLookup::Unavailable;
         }
         match timeout(JOB_LOOKUP_TIMEOUT, lookup).await {
@@ -66,13 +67,14 @@
     }
 }
 
-/// The body of a request; none if it is too long or ends early.
+/// Returns the body of a request, or `None` if the body is longer than `MAX_BODY_BYTES` or
+/// incomplete.
 pub(super) async fn read_body(request: &mut Request) -> Option<Vec<u8>> {
     let body = request.payload_with_max_size(MAX_BODY_BYTES).await;
     body.ok().map(|bytes| bytes.to_vec())
 }
 
-/// The job that a request's path names.
+/// Returns the job id in the path of a request, or an empty string if there is none.
 pub(super) fn job_in_path(request: &Request) -> String {
     request.param::<String>("id").unwrap_or_default()
 }
--- a/src/api/health.rs
+++ b/src/api/health.rs
@@ -6,13 +6,13 @@
 use salvo::prelude::{Response, handler};
 use serde_json::json;
 
-/// `GET /up`: whether users should be routed to this controller.
+/// Handler of `GET /up`, which reports whether users should be routed to this controller.
 pub(super) struct HealthHandler(pub(super) ApiContext);
 
 #[handler]
 impl HealthHandler {
     async fn handle(&self, response: &mut Response) {
-        let is_healthy = self.0.ports.view.borrow().healthy;
+        let is_healthy = self.0.channels.view.borrow().healthy;
         let status = if is_healthy {
             StatusCode::OK
         } else {
--- a/src/api/heartbeats.rs
+++ b/src/api/heartbeats.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long the controller may take to answer a heartbeat.
+/// Timeout of the controller's answer to a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// `POST /checkin`.
+/// Handler of `POST /checkin`.
 pub(super) struct HeartbeatHandler {
     context: ApiContext,
     connection_limiter: ConnectionLimiter,
@@ -27,8 +27,9 @@
             Some(body) => self.context.heartbeat(&body).await,
             None => WorkerAnswer::Malformed(UNREADABLE_BODY),
         };
-        // A worker that is not answered here connects to another controller; and near the
-        // connection limit, one that is comes back with its next heartbeat.
+        // A worker whose heartbeat is not accepted here connects to another controller. Near the
+        // connection limit, a worker whose heartbeat is accepted opens a new connection for its
+        // next heartbeat.
         if answer.status() != StatusCode::OK || self.connection_limiter.is_near_limit() {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
@@ -47,19 +48,20 @@
 }
 
 impl ApiContext {
-    /// Passes a heartbeat on to the controller and waits for its answer.
+    /// Forwards a heartbeat to the controller and waits for the answer.
     pub(super) async fn heartbeat(&self, body: &[u8]) -> WorkerAnswer {
         let Ok(heartbeat) = serde_json::from_slice::<Heartbeat>(body) else {
             return WorkerAnswer::Malformed("malformed report");
         };
         let (answer, answered) = oneshot::channel();
         let request = HeartbeatRequest { heartbeat, answer };
-        if self.ports.heartbeats.try_send(request).is_err() {
+        if self.channels.heartbeats.try_send(request).is_err() {
             return WorkerAnswer::Unavailable("busy");
         }
         match tokio::time::timeout(HEARTBEAT_TIMEOUT, answered).await {
-            // The last moment to check: an answer that was delayed on its way here must not
-            // leave after the lease under which it was decided has expired.
+            // This is the last check before the answer is sent: the answer may have been delayed
+            // in the channel, and must not be sent after the expiry of the lease under which it
+            // was decided.
             Ok(Ok(HeartbeatAnswer::Accepted(response)))
                 if self.clock.now() < response.valid_until =>
             {
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,10 +1,12 @@
 //! The HTTP interface for users, workers and health checks.
 //!
-//! Owns the server, its connections, the endpoints and the form of their answers. It decides
-//! nothing that the controller decides: it passes requests on over the channels of [`ports`]
-//! and waits for their replies. It must never answer from a state older than one that any
-//! controller may have answered from before (see [`read_index`]), nor send a worker an answer
-//! after the lease under which it was decided.
+//! This module owns the server, its connections, the endpoints and the form of their answers.
+//! Decisions are made by the controller: the endpoints forward requests over the channels of
+//! [`ports`] and wait for the replies.
+//!
+//! Two invariants hold. An answer about a job is never based on an older state than an answer
+//! that any controller has given before (see [`read_index`]). A worker is never sent an answer
+//! after the expiry of the lease under which the answer was decided.
 
 mod answers;
 mod cancellations;
--- a/src/api/ports.rs
+++ b/src/api/ports.rs
@@ -1,7 +1,7 @@
 //! The channels between the HTTP interface and the controller, and the messages on them.
 //!
-//! The interface decides nothing that the controller decides: it passes requests on and
-//! waits for their answers.
+//! The HTTP interface forwards requests and waits for the answers. Decisions are made by the
+//! controller only.
 
 use super::read_index::JobLookup;
 use crate::cloud::MachineType;
@@ -12,18 +12,18 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// The interface's ends of the channels to the controller.
+/// The HTTP interface's ends of the channels to the controller.
 #[derive(Clone)]
 pub struct ApiChannels {
-    /// What the controller has published.
+    /// The latest view of the controller's state.
     pub view: watch::Receiver<Arc<ApiView>>,
-    /// Requests to the key-value store.
+    /// Channel for requests to the key-value store.
     pub store_queries: mpsc::Sender<StoreQuery>,
-    /// Workers' heartbeats.
+    /// Channel for workers' heartbeats.
     pub heartbeats: mpsc::Sender<HeartbeatRequest>,
-    /// Lookups of jobs.
+    /// Channel for lookups of jobs.
     pub status_queries: mpsc::Sender<StatusQuery>,
-    /// Cancellations that the store has committed.
+    /// Channel for cancellations that the store has committed.
     pub cancellations: mpsc::Sender<CancelledJob>,
 }
 
@@ -31,7 +31,7 @@
 pub struct StoreQuery {
     /// The request.
     pub request: Request,
-    /// Where the store's reply goes.
+    /// Channel for the store's reply.
     pub answer: oneshot::Sender<Reply>,
 }
 
@@ -39,7 +39,7 @@
 pub struct HeartbeatRequest {
     /// The heartbeat.
     pub heartbeat: Heartbeat,
-    /// Where the answer goes.
+    /// Channel for the controller's answer.
     pub answer: oneshot::Sender<HeartbeatAnswer>,
 }
 
@@ -47,49 +47,50 @@
 pub struct CancelledJob {
     /// The cancelled job.
     pub job: JobId,
-    /// The store's revision at which it was cancelled.
+    /// The store's revision at which the cancellation was committed.
     pub revision: Revision,
 }
 
-/// A lookup of a job.
+/// A lookup of the state of a job.
 pub struct StatusQuery {
-    /// The job.
+    /// The job to look up.
     pub id: JobId,
-    /// Where the result goes.
+    /// Channel for the result of the lookup.
     pub answer: oneshot::Sender<JobLookup>,
 }
 
 /// The answer to a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatAnswer {
-    /// 200: the fencing token and the commands.
+    /// The heartbeat was accepted: the fencing token and the commands for the worker. Sent as
+    /// status 200.
     Accepted(HeartbeatResponse),
-    /// 421: the controller that owns the machine's partition.
+    /// The machine's partition belongs to this controller. Sent as status 421.
     Redirect(Label),
-    /// 503: no owner of the machine's partition is known just now.
+    /// No owner of the machine's partition is known now. Sent as status 503.
     Unavailable,
 }
 
-/// The partition of a team, and its owner's grant.
+/// The partition of a team, and the grant of the partition's owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TeamPartition {
     /// The partition.
     pub partition: PartitionId,
-    /// The revision of the owner's record; 0 if there is none.
+    /// The revision of the partition's owner record; 0 if there is none.
     pub owner_revision: Revision,
-    /// The term of the owner's grant.
+    /// The fencing term of the owner's grant; 0 if there is none.
     pub term: Term,
 }
 
-/// What the interface needs to know of the controller's state, published at every change.
+/// The part of the controller's state that the HTTP interface needs, published at every change.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ApiView {
-    /// The machine types, once they are known.
+    /// The machine types; `None` until they are known.
     pub types: Option<Arc<Vec<MachineType>>>,
     /// The partition of each team, by the team's index in the settings.
     pub teams: Vec<TeamPartition>,
     /// Whether users should be routed to this controller.
     pub healthy: bool,
-    /// The format level that every controller understands.
+    /// The highest format level that every controller understands.
     pub format: FormatLevel,
 }
--- a/src/api/read_index.rs
+++ b/src/api/read_index.rs
@@ -1,13 +1,13 @@
-//! The read index: linearizable lookups of jobs, at a bounded rate of reads.
+//! The read index: linearizable lookups of jobs, at a bounded rate of reads of the store.
 //!
-//! A lookup waits for the next read of the store's changes that was sent after it came: one
-//! read serves all pending lookups. A live job is then answered from the watch cache, which
-//! is as new as that read. For any other, the record of its end is read, in this order, since
-//! jobs only ever move from live to ended, in one transaction: none is missed. How a job
-//! ended never changes, so it is cached.
+//! A lookup waits for the next read of the store's changes that is sent after the lookup
+//! arrived. One read serves all pending lookups. A live job is then answered from the watch
+//! cache, which is at least as new as that read. For any other job, the ended record is read
+//! from the store afterwards. This order misses no job, because a job only moves from live to
+//! ended, and does so in one transaction. Ended records never change, so they are cached.
 //!
-//! Owns the pending lookups, the reads in flight and the cached ends. It must never answer
-//! from a read that was sent before the lookup came.
+//! This module owns the pending lookups, the reads of ended records in flight and the cached
+//! ended records. A lookup is never answered from a read that was sent before the lookup arrived.
 
 use crate::clock::Micros;
 use crate::ids::{JobId, Revision};
@@ -19,46 +19,46 @@
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long a lookup may be pending. Users wait for 2 s: what can't be answered by then is
-/// refused before.
+/// Time after which a pending lookup is refused. Users wait for 2 s, so they receive the refusal
+/// before their timeout.
 const LOOKUP_TIMEOUT: Micros = Micros::from_millis(1_500);
-/// Further lookups are refused at once.
+/// Maximum number of pending lookups. Further lookups are refused immediately.
 const MAX_PENDING_LOOKUPS: usize = 2_000;
-/// How many ends of jobs are cached.
-const MAX_CACHED_ENDS: usize = 20_000;
+/// Maximum number of cached ended records.
+const MAX_CACHED_ENDED_RECORDS: usize = 20_000;
 
 /// The result of a lookup of a job.
 #[derive(Debug, Clone, PartialEq)]
 pub enum JobLookup {
-    /// It has not ended.
+    /// The job has not ended.
     Live {
-        /// The revision of its record.
+        /// The revision of the job's record.
         revision: Revision,
-        /// Running if any of its tasks is, else pending.
+        /// [`JobState::Running`] if any task runs, otherwise [`JobState::Pending`].
         state: JobState,
-        /// How many tasks it has.
+        /// Number of tasks of the job.
         tasks: u32,
-        /// What each of them takes.
+        /// The resources that each task requests, and the team whose limit they count against.
         footprint: Footprint,
-        /// How many are done.
+        /// Number of done tasks.
         done: u32,
-        /// How many run.
+        /// Number of running tasks.
         running: u32,
     },
-    /// It has ended.
+    /// The job has ended.
     Ended(EndedRecord),
-    /// There is no such job.
+    /// The job does not exist.
     NotFound,
-    /// It can't be read now.
+    /// The job's state cannot be determined now.
     Unavailable,
 }
 
-/// What the read index wants done.
+/// An action that the read index requests from its caller.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// Answer the lookup with this request id.
+    /// Answers the lookup with this request id.
     AnswerJobLookup(u64, JobLookup),
-    /// Read the record of an ended job.
+    /// Reads the ended record of this job from the store.
     ReadEnded(JobId),
 }
 
@@ -74,22 +74,22 @@
     }
 }
 
-/// A read of the record of an ended job that is in flight.
+/// A read of an ended record that is in flight.
 struct EndedRead {
-    /// The read was sent after this.
+    /// A time before the read was sent. The read may answer lookups that arrived by then.
     sent_after: Micros,
-    /// The lookups that it answers.
+    /// The request ids of the lookups that the read answers.
     request_ids: Vec<u64>,
 }
 
-/// How jobs ended, the last ones that were looked up.
+/// Cache of the ended records that were read last.
 #[derive(Default)]
-struct EndedJobs {
+struct EndedRecordCache {
     records: BTreeMap<JobId, EndedRecord>,
     insertion_order: VecDeque<JobId>,
 }
 
-impl EndedJobs {
+impl EndedRecordCache {
     fn get(&self, id: &JobId) -> Option<&EndedRecord> {
         self.records.get(id)
     }
@@ -99,7 +99,7 @@
             return;
         }
         self.insertion_order.push_back(id.clone());
-        if self.insertion_order.len() > MAX_CACHED_ENDS
+        if self.insertion_order.len() > MAX_CACHED_ENDED_RECORDS
             && let Some(oldest) = self.insertion_order.pop_front()
         {
             self.records.remove(&oldest);
@@ -107,17 +107,21 @@
     }
 }
 
-/// The pending lookups of jobs, and how looked-up jobs ended.
+/// The pending lookups of jobs, the reads of ended records in flight, and a cache of ended
+/// records.
 #[derive(Default)]
 pub struct ReadIndex {
     pending: Vec<PendingLookup>,
     ended_reads: BTreeMap<JobId, EndedRead>,
-    ended_jobs: EndedJobs,
+    ended_records: EndedRecordCache,
 }
 
 impl ReadIndex {
-    /// Begins to look up a job: gives the answer if there is one at once. Without a recent
-    /// read of the store's changes there is none to wait for.
+    /// Begins the lookup of a job. Returns the answer if there is one immediately, otherwise
+    /// `None`.
+    ///
+    /// If there is no recent read of the store's changes, the store is probably unreachable. The
+    /// lookup is then refused instead of waiting for the next read.
     pub fn begin_lookup(
         &mut self,
         now: Micros,
@@ -130,7 +134,7 @@
             id,
             received_at: now,
         };
-        if let Some(record) = self.ended_jobs.get(&lookup.id) {
+        if let Some(record) = self.ended_records.get(&lookup.id) {
             return Some(lookup.answer(JobLookup::Ended(record.clone())));
         }
         if !has_recent_read || self.pending.len() >= MAX_PENDING_LOOKUPS {
@@ -140,8 +144,8 @@
         None
     }
 
-    /// The cache has reached the result of a read of the store's changes that was sent at
-    /// `sent_at`.
+    /// Answers lookups after the cache has applied the result of a read of the store's changes
+    /// that was sent at `sent_at`.
     pub fn handle_read(
         &mut self,
         sent_at: Micros,
@@ -151,23 +155,23 @@
         let mut effects = Vec::new();
         for lookup in std::mem::take(&mut self.pending) {
             if lookup.received_at > sent_at {
-                // That read may be older than what another controller has answered since.
+                // Another controller may have answered with a newer state since the read.
                 self.pending.push(lookup);
                 continue;
             }
-            if let Some(record) = self.ended_jobs.get(&lookup.id) {
+            if let Some(record) = self.ended_records.get(&lookup.id) {
                 effects.push(lookup.answer(JobLookup::Ended(record.clone())));
             } else if let Some(live) = live_job(&lookup.id, cache) {
                 match dependencies.is_cancelled(&lookup.id) {
                     Some(false) => effects.push(lookup.answer(live)),
                     Some(true) => effects.push(lookup.answer(cancelled_job(live))),
-                    // Guards against an answer that goes back: another controller may have
-                    // answered that it is cancelled with the dependency whose end is being
-                    // read here.
+                    // The ended record of a dependency is still being read. If the dependency
+                    // was cancelled, another controller may have answered that this job is
+                    // cancelled, too, so an earlier state must not be answered here.
                     None => self.pending.push(lookup),
                 }
             } else if cache.is_job_unreadable(&lookup.id) {
-                // It was accepted: "no such job" would make its user give it up.
+                // The job was accepted: after "no such job" its user would abandon it.
                 effects.push(lookup.answer(JobLookup::Unavailable));
             } else {
                 effects.extend(self.read_ended(lookup, sent_at));
@@ -176,12 +180,12 @@
         effects
     }
 
-    /// Reads the record of an ended job, once for all lookups that it may answer.
-    fn read_ended(&mut self, lookup: PendingLookup, now: Micros) -> Option<Effect> {
+    /// Requests the ended record of a job, once for all lookups that the read may answer.
+    fn read_ended(&mut self, lookup: PendingLookup, sent_after: Micros) -> Option<Effect> {
         match self.ended_reads.entry(lookup.id.clone()) {
             Entry::Vacant(entry) => {
                 entry.insert(EndedRead {
-                    sent_after: now,
+                    sent_after,
                     request_ids: vec![lookup.request_id],
                 });
                 Some(Effect::ReadEnded(lookup.id))
@@ -190,8 +194,9 @@
                 read.get_mut().request_ids.push(lookup.request_id);
                 None
             }
-            // Guards against a 404 for a job that was accepted and has ended since that
-            // read was sent: this lookup waits for a read of its own.
+            // The lookup may have arrived after the read in flight was sent, so it waits for a
+            // later read. The job may have been accepted and have ended since then, and the reply
+            // "not found" to the earlier read would be a wrong answer.
             Entry::Occupied(_) => {
                 self.pending.push(lookup);
                 None
@@ -199,17 +204,17 @@
         }
     }
 
-    /// Handles the store's reply to the read of an ended job's record.
+    /// Handles the store's reply to the read of an ended record.
     pub fn handle_ended_read(&mut self, id: &JobId, reply: &Reply) -> Vec<Effect> {
         let lookup = match reply {
-            Reply::Value(row) => {
-                EndedRecord::read(row).map_or(JobLookup::Unavailable, JobLookup::Ended)
+            Reply::Value(entry) => {
+                EndedRecord::read(entry).map_or(JobLookup::Unavailable, JobLookup::Ended)
             }
             Reply::NotFound => JobLookup::NotFound,
             _ => JobLookup::Unavailable,
         };
         if let JobLookup::Ended(record) = &lookup {
-            self.ended_jobs.insert(id, record);
+            self.ended_records.insert(id, record);
         }
         let read = self.ended_reads.remove(id);
         let request_ids = read.map_or_else(Vec::new, |read| read.request_ids);
@@ -219,7 +224,7 @@
             .collect()
     }
 
-    /// Refuses the lookups that have been pending for too long.
+    /// Refuses the lookups that have been pending for `LOOKUP_TIMEOUT` or longer.
     pub fn expire(&mut self, now: Micros) -> Vec<Effect> {
         let has_expired =
             |lookup: &mut PendingLookup| now.since(lookup.received_at) >= LOOKUP_TIMEOUT;
@@ -255,8 +260,8 @@
     })
 }
 
-/// A job that is cancelled with one of its dependencies, whether or not its own end is
-/// stored yet.
+/// Converts the lookup of a live job to that of a cancelled one. Used when a dependency was
+/// cancelled, even if the job's own ended record is not stored yet.
 fn cancelled_job(lookup: JobLookup) -> JobLookup {
     match lookup {
         JobLookup::Live {
--- a/src/api/read_index/tests.rs
+++ b/src/api/read_index/tests.rs
@@ -6,12 +6,12 @@
     Micros::from_secs(seconds)
 }
 
-/// Handles a read of the changes, without dependencies between jobs.
+/// Handles a read of the changes while no job has dependencies.
 fn handle_read(read_index: &mut ReadIndex, sent_at: Micros, cache: &WatchCache) -> Vec<Effect> {
     read_index.handle_read(sent_at, cache, &DependencyGraph::default())
 }
 
-fn ended_row(key: &str, state: &str, revision: u64) -> Reply {
+fn ended_record(key: &str, state: &str, revision: u64) -> Reply {
     Reply::Value(KeyValue {
         key: key.into(),
         value: serde_json::json!({"standing": state, "tasks": 4}),
@@ -19,6 +19,7 @@
     })
 }
 
+/// Guards against an answer that is older than what another controller has answered before.
 #[test]
 fn a_lookup_waits_for_a_read_that_was_sent_after_it() {
     let mut read_index = ReadIndex::default();
@@ -28,7 +29,7 @@
         None
     );
 
-    // Sent before: another controller may have accepted the job in between.
+    // The read was sent before the lookup: another controller may have accepted the job since.
     assert_eq!(handle_read(&mut read_index, secs(1.9), &cache), vec![]);
     let reads = handle_read(&mut read_index, secs(2.1), &cache);
     assert_eq!(reads, vec![Effect::ReadEnded("j-1".into())]);
@@ -38,16 +39,17 @@
         answers,
         vec![Effect::AnswerJobLookup(7, JobLookup::NotFound)]
     );
-    // That there is no such job is not cached: it may be submitted any time.
+    // A missing job is not cached, because it may be submitted at any time.
     assert_eq!(
         read_index.begin_lookup(secs(3.0), "j-1".into(), 8, true),
         None
     );
 }
 
-/// The read of a record is slow; meanwhile another controller accepts the job and cancels it.
+/// Guards against "not found" for an accepted job: while the read of its ended record is in
+/// flight, another controller accepts the job and cancels it.
 #[test]
-fn a_read_of_an_ended_record_answers_no_lookup_that_came_later() {
+fn a_read_of_an_ended_record_answers_no_lookup_that_arrived_later() {
     let mut read_index = ReadIndex::default();
     let cache = WatchCache::default();
     let id = || JobId::from("j-1");
@@ -70,24 +72,25 @@
     );
     let reads = handle_read(&mut read_index, secs(2.9), &cache);
     assert_eq!(reads, vec![Effect::ReadEnded(id())]);
-    let reply = ended_row("ended/j-1", "cancelled", 5);
+    let reply = ended_record("ended/j-1", "cancelled", 5);
     let answers = read_index.handle_ended_read(&id(), &reply);
     assert_eq!(answered(&answers), vec![8]);
 
-    // A lookup that came while the record was read needs no further read.
+    // A lookup that arrived while the ended record was read is answered from the cache.
     read_index.begin_lookup(secs(3.0), "j-2".into(), 9, true);
     handle_read(&mut read_index, secs(3.1), &cache);
     read_index.begin_lookup(secs(3.2), "j-2".into(), 10, true);
     handle_read(&mut read_index, secs(3.3), &cache);
-    let reply = ended_row("ended/j-2", "done", 6);
+    let reply = ended_record("ended/j-2", "done", 6);
     let answers = read_index.handle_ended_read(&"j-2".into(), &reply);
     assert_eq!(answered(&answers), vec![9]);
     let answers = handle_read(&mut read_index, secs(3.4), &cache);
     assert_eq!(answered(&answers), vec![10]);
 }
 
+/// Guards against one read of the store for each lookup.
 #[test]
-fn one_read_answers_all_lookups_and_the_end_of_a_job_is_cached() {
+fn one_read_answers_all_lookups_and_the_ended_record_is_cached() {
     let mut read_index = ReadIndex::default();
     let mut cache = WatchCache::default();
     let record = crate::jobs::tests::rec("j-1", 4, Term(1));
@@ -129,7 +132,7 @@
             }
         )
     )));
-    let reply = ended_row("ended/j-2", "done", 5);
+    let reply = ended_record("ended/j-2", "done", 5);
     let answers = read_index.handle_ended_read(&"j-2".into(), &reply);
     assert_eq!(answers.len(), 100);
     let cached = read_index.begin_lookup(secs(9.0), "j-2".into(), 1, false);
@@ -139,8 +142,9 @@
     ));
 }
 
+/// Guards against lookups that wait for reads while the store is unreachable.
 #[test]
-fn without_reads_lookups_are_refused_at_once_or_soon() {
+fn without_reads_lookups_are_refused_immediately_or_after_a_timeout() {
     let mut read_index = ReadIndex::default();
     let refused = Some(Effect::AnswerJobLookup(1, JobLookup::Unavailable));
     let answer = read_index.begin_lookup(secs(2.0), "j-1".into(), 1, false);
@@ -157,9 +161,9 @@
     );
 }
 
-/// "No such job" would make the user of an accepted one give it up.
+/// Guards against "no such job" for an accepted job, after which its user would abandon it.
 #[test]
-fn a_job_whose_record_cant_be_read_is_not_answered_as_unknown() {
+fn a_job_with_an_unreadable_record_is_not_answered_as_unknown() {
     let mut read_index = ReadIndex::default();
     let mut cache = WatchCache::default();
     cache.load(vec![KeyValue {
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -1,4 +1,4 @@
-//! The start of the HTTP server: its address, its connection limit and its routes.
+//! Starts the HTTP server on its address, with its connection limit and its routes.
 
 use super::cancellations::CancelHandler;
 use super::connection_limiter::ConnectionLimiter;
@@ -15,28 +15,28 @@
 use salvo::prelude::{Router, Server, Service};
 use std::sync::Arc;
 
-/// The address for users and workers can't be listened on.
+/// Failure to listen on the address for users and workers.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct ServeError(#[from] salvo::Error);
 
-/// Listens on the address of `settings` and serves requests in the background.
+/// Listens on the address `bind` of `settings` and serves requests in a background task.
 ///
 /// # Errors
 ///
-/// When the address can't be listened on.
+/// Returns [`ServeError`] if the server cannot listen on the address.
 pub async fn serve(
     settings: Arc<Settings>,
     sockets: &SocketShares,
     clock: MonotonicClock,
-    ports: ApiChannels,
+    channels: ApiChannels,
 ) -> Result<(), ServeError> {
     let address = settings.bind;
     let connection_limiter = ConnectionLimiter::new(&settings, sockets);
     let context = ApiContext {
         settings,
         clock,
-        ports,
+        channels,
     };
     let acceptor = TcpListener::new(address).try_bind().await?;
     let server = Server::new(acceptor).fuse_policy(connection_limiter.clone());
--- a/src/api/status.rs
+++ b/src/api/status.rs
@@ -6,7 +6,7 @@
 use crate::ids::JobId;
 use salvo::prelude::{Request, Response, handler};
 
-/// `GET /v1/jobs/{id}`.
+/// Handler of `GET /v1/jobs/{id}`.
 pub(super) struct StatusHandler(pub(super) ApiContext);
 
 #[handler]
@@ -18,7 +18,7 @@
 }
 
 impl ApiContext {
-    /// Answers what state a job is in.
+    /// Returns the state of a job.
     pub(super) async fn status(&self, id: &str) -> UserAnswer {
         let id = JobId::from(id);
         if !id.is_well_formed() {
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -1,8 +1,9 @@
 //! The endpoint that accepts jobs.
 //!
-//! A submission is an idempotent request: the job's id is its key. A repeat of a job that was
-//! accepted before is answered with the state of that job, by whichever controller, and
-//! whatever the machine types, the team's partition or the store are now.
+//! A submission is idempotent, with the job's id as its idempotency key. If the job was accepted
+//! before, every controller answers a repeated submission with the state of that job. The answer
+//! does not depend on whether the job could be accepted now, given the current machine types,
+//! the owner of the team's partition and the state of the store.
 
 use super::answers::{ApiError, STORE_UNREACHABLE, UserAnswer};
 use super::context::{ApiContext, MAX_WRITE_ATTEMPTS, UNREADABLE_BODY, read_body};
@@ -17,13 +18,13 @@
 use salvo::prelude::{Request, Response, handler};
 use std::time::Duration;
 
-/// How long a job is looked up before its submission is refused for now: reads of the store
-/// that come at all come sooner.
+/// Maximum time for which a job is looked up before its submission is refused as unavailable.
+/// While the store is reachable, its reads take less time than this.
 pub(super) const REPEAT_LOOKUP_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long to wait for the cache to learn of a partition's new owner.
+/// Time to wait for the cache to receive a partition's new owner before the write is retried.
 const OWNER_CHANGE_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
-/// `POST /v1/jobs`.
+/// Handler of `POST /v1/jobs`.
 pub(super) struct SubmitHandler(pub(super) ApiContext);
 
 #[handler]
@@ -37,21 +38,22 @@
     }
 }
 
-/// What the write of a job's record led to.
+/// The outcome of writing the record of a new job.
 enum WriteOutcome {
+    /// The record was written.
     Accepted,
-    /// A repeat: the job has ended.
+    /// The submission is a repeat: the job has ended.
     AlreadyEnded,
-    /// A repeat, most likely: the job's record exists, or did at the write.
+    /// The submission is most likely a repeat: the job's record existed at the time of the write.
     AlreadyAccepted,
-    /// The partition has another owner than the cache says.
+    /// The partition's owner record changed after the cached revision.
     OwnerChanged,
-    /// Whether the record was written is not known.
+    /// The record may have been written or not.
     Indeterminate,
 }
 
 impl ApiContext {
-    /// Accepts a job, or answers the repeat of a submission with the state of its job.
+    /// Accepts a job, or answers a repeated submission with the state of its job.
     pub(super) async fn submit(&self, body: &[u8]) -> UserAnswer {
         let job = match JobDesc::parse(body) {
             Ok(job) => job,
@@ -63,8 +65,12 @@
         }
     }
 
-    /// The answer to a job that was accepted now or before; an error if it can't be accepted
-    /// and may be a repeat nevertheless.
+    /// Returns the answer if the job was accepted, now or before.
+    ///
+    /// # Errors
+    ///
+    /// The refusal, if the job cannot be accepted. The submission may still be a repeat of an
+    /// accepted one.
     async fn accept(&self, job: &JobDesc) -> Result<UserAnswer, UserAnswer> {
         self.check_dependencies(job).await?;
         for _ in 0..MAX_WRITE_ATTEMPTS {
@@ -80,7 +86,8 @@
                 }
                 WriteOutcome::AlreadyEnded => return Ok(self.answer_ended(&job.id).await),
                 WriteOutcome::AlreadyAccepted => match self.look_up_job(&job.id).await {
-                    // It ended during the lookup: the next write conflicts with its end.
+                    // The job ended during the lookup: the next write conflicts with its ended
+                    // record.
                     JobLookup::NotFound => {}
                     found => return Ok(UserAnswer::known_job(found, &job.id)),
                 },
@@ -90,14 +97,15 @@
                 WriteOutcome::Indeterminate => return Err(STORE_UNREACHABLE),
             }
         }
+        // The protocol calls a partition a block.
         Err(UserAnswer::Unavailable(
             "the team's block is changing hands",
         ))
     }
 
-    /// The partition of the job's team, if the job can run here at all.
+    /// Returns the partition of the job's team, or the refusal if the job cannot be admitted.
     fn admit(&self, job: &JobDesc) -> Result<TeamPartition, UserAnswer> {
-        let view = self.ports.view.borrow().clone();
+        let view = self.channels.view.borrow().clone();
         let Some(machine_types) = &view.types else {
             return Err(UserAnswer::Unavailable("machine types are not known yet"));
         };
@@ -109,7 +117,7 @@
             .ok_or(STORE_UNREACHABLE)
     }
 
-    /// Writes the record of a new job.
+    /// Writes the record of a new job, unless the job was accepted before.
     async fn write_job(&self, job: &JobDesc, team: TeamPartition) -> WriteOutcome {
         let record = JobRecord {
             desc: job.clone(),
@@ -120,8 +128,9 @@
         let compares = vec![
             Compare::new(keys::job(&job.id), Revision(0)),
             Compare::new(keys::ended(&job.id), Revision(0)),
-            // Under this grant: a later owner knows whether an earlier one can have
-            // started it.
+            // The record names the term of the partition's current grant, so the grant must not
+            // have changed. By that term, a later owner knows whether an earlier owner can have
+            // started the job.
             Compare::new(owner_key.clone(), team.owner_revision),
         ];
         let request = store::Request::CompareAndSwap {
@@ -141,8 +150,8 @@
         }
     }
 
-    /// The answer to a repeat of a job that has ended: its record never changes, so it needs
-    /// no linearizable lookup.
+    /// Returns the answer to a repeated submission of a job that has ended. The record of an ended
+    /// job never changes, so no linearizable lookup is needed.
     async fn answer_ended(&self, id: &JobId) -> UserAnswer {
         let key = keys::ended(id);
         match self.execute(store::Request::Get { key }).await {
@@ -153,16 +162,21 @@
         }
     }
 
-    /// Whether all jobs that a submission depends on were accepted, by any controller, and
-    /// whether a job with dependencies can be accepted at all yet.
+    /// Checks that all dependencies of a job were accepted, by any controller, and that every
+    /// controller understands jobs with dependencies.
+    ///
+    /// # Errors
+    ///
+    /// The refusal, if a check fails or cannot be made now.
     async fn check_dependencies(&self, job: &JobDesc) -> Result<(), UserAnswer> {
         if job.dependencies.is_empty() {
             return Ok(());
         }
-        // What can never be recorded need not be looked up, however much it depends on.
+        // A job that is too large to be recorded is rejected before any of its dependencies is
+        // looked up, however many it has.
         job.recordable(&self.settings)
             .map_err(UserAnswer::rejected_submission)?;
-        if self.ports.view.borrow().format < FormatLevel::DEPENDENCIES {
+        if self.channels.view.borrow().format < FormatLevel::DEPENDENCIES {
             let reason = "not every controller can take jobs that need others yet";
             return Err(UserAnswer::Unavailable(reason));
         }
@@ -179,9 +193,11 @@
         Ok(())
     }
 
-    /// Whether a job was accepted; none if that can't be read now. Two reads of its own, since
-    /// the cache may lag behind what another controller accepted a moment ago, and in this
-    /// order, since jobs only ever move from live to ended.
+    /// Returns whether a job was accepted, or `None` if the store cannot be read now.
+    ///
+    /// The records are read from the store, because the cache may lag behind what another
+    /// controller has just accepted. The live record is read before the ended one: jobs only
+    /// move from live to ended, so no job is missed.
     async fn was_accepted(&self, id: &JobId) -> Option<bool> {
         for key in [keys::job(id), keys::ended(id)] {
             match self.execute(store::Request::Get { key }).await {
@@ -193,16 +209,17 @@
         Some(false)
     }
 
-    /// The answer to a submission that can't be accepted. Guards against the refusal of a
-    /// repeat: submissions are idempotent, so the state of a job that was accepted before is
-    /// answered instead.
+    /// Returns the answer to a submission that cannot be accepted: the state of the job if it was
+    /// accepted before, otherwise the refusal. Submissions are idempotent, so a repeat must not
+    /// be refused.
     async fn answer_unless_known(&self, id: &JobId, refusal: UserAnswer) -> UserAnswer {
         let lookup = match refusal {
-            // Goes out soon, whatever the lookup does: its user retries.
+            // A temporary refusal is not delayed by a slow lookup, because the user retries.
             UserAnswer::Unavailable(_) => {
                 tokio::time::timeout(REPEAT_LOOKUP_TIMEOUT, self.look_up_job(id)).await
             }
-            // A rejection for good must know.
+            // A permanent rejection is sent only once the job is known not to have been
+            // accepted.
             _ => Ok(self.look_up_job(id).await),
         };
         match lookup {
--- a/src/api/tests/cancellations.rs
+++ b/src/api/tests/cancellations.rs
@@ -5,8 +5,9 @@
 use crate::store::Reply;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// `cancelled` against `done` at the same instant: one write decides, and the answer is
-/// read from what it left.
+/// Guards against an answer of "cancelled" for a job that is done. The last task ends while the
+/// job is being cancelled: the write that is committed first decides, and the answer is read
+/// from the store.
 #[tokio::test]
 async fn a_cancellation_that_races_the_end_of_a_job_is_answered_with_what_was_committed() {
     static ENDED: AtomicBool = AtomicBool::new(false);
@@ -27,7 +28,7 @@
     };
     let done = cancel(conflict, live_until_conflict).await;
     assert_eq!(done, (200, Some(JobState::Done)));
-    // No reply to the write: the answer is left to the user's retry.
+    // Without a reply to the write, the user is asked to retry.
     let indeterminate: StoreReply = |_| Reply::Indeterminate;
     assert_eq!(cancel(indeterminate, |_| live()).await.0, 503);
     let cancelled = cancel(|_| Reply::Committed(Revision(9)), |_| live()).await;
--- a/src/api/tests/heartbeats.rs
+++ b/src/api/tests/heartbeats.rs
@@ -2,9 +2,10 @@
 use crate::clock::Micros;
 use serde_json::json;
 
-/// A pause of the process between the decision and the bytes: the lease may have expired.
+/// Guards against an answer that is sent after the lease expired, because the process paused
+/// between the controller's decision and the sending of the answer.
 #[tokio::test]
-async fn an_answer_to_a_heartbeat_does_not_leave_after_its_lease_expired() {
+async fn an_answer_to_a_heartbeat_is_not_sent_after_its_lease_expired() {
     let heartbeat = json!({"rig": "m-1", "addr": "a:1", "build": "big", "yard": "x", "loaners": false,
         "shift": 1, "tally": 1, "baton": 0, "hands": []});
     let heartbeat = heartbeat.to_string();
--- a/src/api/tests/mod.rs
+++ b/src/api/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The endpoints before a scripted store and a scripted controller.
+//! Tests of the endpoints against a scripted store and a scripted controller.
 
 mod cancellations;
 mod heartbeats;
@@ -24,15 +24,15 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
 
-/// How the scripted controller looks up jobs.
+/// Script of the controller: the result of a lookup of a job.
 type LookUp = fn(&JobId) -> JobLookup;
-/// How the scripted store replies to requests.
+/// Script of the store: the reply to a request.
 type StoreReply = fn(&StoreRequest) -> Reply;
 
 const QUEUE_LENGTH: usize = 16;
 
-/// The endpoints before a scripted store and controller: how the store replies, what a lookup
-/// of a job gives, and how heartbeats are answered.
+/// Creates the endpoints with a scripted store and controller. The store replies as `store` does,
+/// lookups of jobs give the result of `look_up`, and heartbeats are accepted with `response`.
 fn context(
     view: ApiView,
     store: StoreReply,
@@ -64,7 +64,7 @@
     ApiContext {
         settings: Arc::new(settings()),
         clock: MonotonicClock::start(),
-        ports: ApiChannels {
+        channels: ApiChannels {
             view,
             store_queries,
             heartbeats,
@@ -74,12 +74,12 @@
     }
 }
 
-/// The endpoints for users, where heartbeats don't matter.
+/// Creates the endpoints for tests of users' requests, which send no heartbeats.
 fn user_context(view: ApiView, store: StoreReply, look_up: LookUp) -> ApiContext {
     context(view, store, look_up, no_commands(Micros::ZERO))
 }
 
-/// The endpoints for workers, where the store and lookups don't matter.
+/// Creates the endpoints for tests of workers' requests, which use neither store nor lookups.
 fn worker_context(view: ApiView, response: HeartbeatResponse) -> ApiContext {
     context(
         view,
@@ -103,7 +103,7 @@
     }
 }
 
-/// A response to a heartbeat without commands, valid until then.
+/// A response to a heartbeat without commands, which may be sent until `valid_until`.
 fn no_commands(valid_until: Micros) -> HeartbeatResponse {
     HeartbeatResponse {
         fencing_token: FencingToken(7),
@@ -137,7 +137,7 @@
     }
 }
 
-/// The status of an answer, and the state of its job.
+/// Returns the HTTP status of an answer, and the state of its job if it has one.
 fn status(answer: &UserAnswer) -> (u16, Option<JobState>) {
     let state = match answer {
         UserAnswer::Job { state, .. } => Some(*state),
@@ -151,7 +151,8 @@
     context.submit(job_body().to_string().as_bytes()).await
 }
 
-/// Submits a job with these dependencies: gives the status and the error's text.
+/// Submits a job with these dependencies. Returns the HTTP status and the error text, which is
+/// empty if the job was accepted.
 async fn submit_with_dependencies(
     dependencies: Value,
     view: ApiView,
@@ -170,9 +171,9 @@
     (status(&answer).0, reason)
 }
 
-/// A store that has one live job and one that has ended.
-fn two_jobs(request: &StoreRequest) -> Reply {
-    let row = |key: &str| {
+/// Replies as a store with the live job `j-1` and the ended job `j-2`.
+fn store_with_two_jobs(request: &StoreRequest) -> Reply {
+    let entry = |key: &str| {
         Reply::Value(KeyValue {
             key: key.into(),
             value: json!({}),
@@ -180,7 +181,7 @@
         })
     };
     match request {
-        StoreRequest::Get { key } if key == "r/jobs/j-1" || key == "ended/j-2" => row(key),
+        StoreRequest::Get { key } if key == "r/jobs/j-1" || key == "ended/j-2" => entry(key),
         StoreRequest::Get { .. } => Reply::NotFound,
         _ => Reply::Committed(Revision(9)),
     }
--- a/src/api/tests/wire_form.rs
+++ b/src/api/tests/wire_form.rs
@@ -1,4 +1,5 @@
-//! Status, headers and bodies, byte for byte.
+//! Guards against changes to the protocol of users and workers: status, headers and bodies must
+//! stay byte for byte.
 
 use super::{
     LookUp, StoreReply, ended, job_body, live, no_commands, not_found, submit, user_context, view,
@@ -18,8 +19,8 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
-/// As it is sent: the status, the headers that matter, and the body.
-fn sent(response: Response) -> (u16, String, String) {
+/// Returns the status, the checked headers and the body of a response.
+fn status_headers_and_body(response: Response) -> (u16, String, String) {
     let headers = [RETRY_AFTER, CONTENT_TYPE].map(|name| {
         let value = response.headers().get(name);
         value
@@ -27,7 +28,7 @@
             .to_owned()
     });
     let ResBody::Once(body) = &response.body else {
-        panic!("a body at once");
+        panic!("the body is not a single chunk");
     };
     let body = String::from_utf8(body.to_vec()).expect("text");
     let status = response.status_code.map_or(0, |status| status.as_u16());
@@ -35,30 +36,30 @@
 }
 
 #[tokio::test]
-async fn answers_to_users_keep_their_form() {
+async fn answers_to_users_keep_their_wire_form() {
     let rendered = |answer: UserAnswer| {
         let mut response = Response::new();
         answer.render(&mut response);
-        sent(response)
+        status_headers_and_body(response)
     };
-    let gives = |status, body: &str| (status, " application/json".to_owned(), body.to_owned());
+    let response = |status, body: &str| (status, " application/json".to_owned(), body.to_owned());
     let retry_later = |reason: &str| {
         let body = format!(r#"{{"error":"{reason}"}}"#);
         (503, "1 application/json".to_owned(), body)
     };
-    let commits: StoreReply = |_| Reply::Committed(Revision(9));
-    let answer = rendered(submit(view(), commits, not_found).await);
+    let committed: StoreReply = |_| Reply::Committed(Revision(9));
+    let answer = rendered(submit(view(), committed, not_found).await);
     assert_eq!(
         answer,
-        gives(201, r#"{"id":"j-000412","standing":"pending"}"#)
+        response(201, r#"{"id":"j-000412","standing":"pending"}"#)
     );
-    let with = |look_up| user_context(view(), commits, look_up);
-    let (known, unknown) = (with(|_| live()), with(not_found));
+    let context_with = |look_up| user_context(view(), committed, look_up);
+    let (known, unknown) = (context_with(|_| live()), context_with(not_found));
     let running = r#"{"done":1,"id":"j-000412","running":2,"standing":"running"}"#;
     let answer = rendered(known.status("j-000412").await);
-    assert_eq!(answer, gives(200, running));
+    assert_eq!(answer, response(200, running));
     let cancelled = rendered(known.cancel("j-000412").await);
-    let expected = gives(200, r#"{"id":"j-000412","standing":"cancelled"}"#);
+    let expected = response(200, r#"{"id":"j-000412","standing":"cancelled"}"#);
     assert_eq!(cancelled, expected);
     let ends: [(LookUp, &str); 2] = [
         (
@@ -71,60 +72,70 @@
         ),
     ];
     for (look_up, body) in ends {
-        let answer = rendered(with(look_up).status("j-000412").await);
-        assert_eq!(answer, gives(200, body));
+        let answer = rendered(context_with(look_up).status("j-000412").await);
+        assert_eq!(answer, response(200, body));
     }
     let answer = rendered(unknown.submit(b"{").await);
     let body = r#"{"error":"not JSON: EOF while parsing an object at line 1 column 1"}"#;
-    assert_eq!(answer, gives(400, body));
+    assert_eq!(answer, response(400, body));
     for answer in [
         unknown.status("j-1").await,
         unknown.cancel("j-1").await,
         known.status("x").await,
     ] {
-        assert_eq!(rendered(answer), gives(404, r#"{"error":"no such job"}"#));
+        assert_eq!(
+            rendered(answer),
+            response(404, r#"{"error":"no such job"}"#)
+        );
     }
     let mut other = job_body();
     other["crew"] = json!("green");
     let answer = rendered(unknown.submit(other.to_string().as_bytes()).await);
-    assert_eq!(answer, gives(422, r#"{"error":"unknown team green"}"#));
-    let answer = rendered(with(|_| JobLookup::Unavailable).status("j-1").await);
+    assert_eq!(answer, response(422, r#"{"error":"unknown team green"}"#));
+    let answer = rendered(context_with(|_| JobLookup::Unavailable).status("j-1").await);
     assert_eq!(answer, retry_later("the state service can't be reached"));
     let no_types = ApiView {
         types: None,
         ..view()
     };
-    let answer = rendered(submit(no_types, commits, not_found).await);
+    let answer = rendered(submit(no_types, committed, not_found).await);
     assert_eq!(answer, retry_later("machine types are not known yet"));
 }
 
 #[tokio::test]
-async fn answers_to_workers_keep_their_form() {
+async fn answers_to_workers_keep_their_wire_form() {
     let heartbeat = r#"{"rig":"m-1","addr":"a:1","build":"big","yard":"x","loaners":false,"shift":1,"tally":1,"baton":0,"hands":[]}"#;
-    let form = |answer: WorkerAnswer| (answer.status().as_u16(), answer.body().to_string());
-    let gives = |status, body: &str| (status, body.to_owned());
+    let status_and_body =
+        |answer: WorkerAnswer| (answer.status().as_u16(), answer.body().to_string());
+    let response = |status, body: &str| (status, body.to_owned());
     let mut context = worker_context(view(), no_commands(Micros::from_secs(3_600.0)));
     let answer = context.heartbeat(heartbeat.as_bytes()).await;
-    assert_eq!(form(answer), gives(200, r#"{"baton":7,"orders":[]}"#));
+    assert_eq!(
+        status_and_body(answer),
+        response(200, r#"{"baton":7,"orders":[]}"#)
+    );
     let answer = context.heartbeat(b"{").await;
-    let expected = gives(400, r#"{"error":"malformed report"}"#);
-    assert_eq!(form(answer), expected);
+    let expected = response(400, r#"{"error":"malformed report"}"#);
+    assert_eq!(status_and_body(answer), expected);
     let (heartbeats, mut sent_heartbeats) = mpsc::channel::<HeartbeatRequest>(16);
-    context.ports.heartbeats = heartbeats;
+    context.channels.heartbeats = heartbeats;
     tokio::spawn(async move {
         let first = sent_heartbeats.recv().await.expect("a heartbeat");
         let _ = first.answer.send(HeartbeatAnswer::Redirect("c1".into()));
         drop(sent_heartbeats.recv().await);
     });
     let answer = context.heartbeat(heartbeat.as_bytes()).await;
-    assert_eq!(form(answer), gives(421, r#"{"answerTo":"c1"}"#));
+    assert_eq!(
+        status_and_body(answer),
+        response(421, r#"{"answerTo":"c1"}"#)
+    );
     let answer = context.heartbeat(heartbeat.as_bytes()).await;
-    let expected = gives(503, r#"{"error":"not entitled to answer"}"#);
-    assert_eq!(form(answer), expected);
+    let expected = response(503, r#"{"error":"not entitled to answer"}"#);
+    assert_eq!(status_and_body(answer), expected);
 }
 
 #[tokio::test]
-async fn answers_to_health_checks_keep_their_form() {
+async fn answers_to_health_checks_keep_their_wire_form() {
     for (healthy, status, body) in [
         (true, 200, r#"{"up":true}"#),
         (false, 503, r#"{"up":false}"#),
@@ -142,7 +153,7 @@
         )
         .await;
         assert_eq!(
-            sent(response),
+            status_headers_and_body(response),
             (status, " application/json".to_owned(), body.to_owned())
         );
     }
