--- a/src/mesh/codec.rs
+++ b/src/mesh/codec.rs
@@ -1,16 +1,17 @@
-//! Frames of the mesh: a version and a message in postcard, each after its length.
+//! Encoding and decoding of mesh frames. A frame is a length, followed by a version and a message
+//! in the postcard format.
 //!
-//! Owns the wire form of a frame. A frame of another version must never be read as one of
-//! this: two versions meet in a rolling upgrade.
+//! Two versions of the controller run side by side during a rolling upgrade. A frame of another
+//! version must never be parsed as a frame of this version.
 
 use super::messages::Message;
 use bytes::Bytes;
 use serde::Serialize;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// The version of the frames. Those of another version are dropped.
+/// The version of the frame format. Frames of other versions are dropped.
 const VERSION: u16 = 2;
-/// A longer frame, in bytes, ends its connection.
+/// Maximum length of a frame, in bytes. A longer frame closes the connection.
 const MAX_FRAME_BYTES: usize = 256 * 1024;
 
 #[derive(Serialize)]
@@ -19,29 +20,29 @@
     body: &'a Message,
 }
 
-/// Why a frame gives no message.
+/// The reason why a frame cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// It is of another version.
+    /// The frame is of another version.
     #[error("the frame is of version {0}, not {VERSION}")]
     OtherVersion(u16),
-    /// It is not a frame, or of a kind of message that is not known.
+    /// The frame is truncated or invalid, or its kind of message is unknown.
     #[error("the frame is malformed")]
     Malformed(#[from] postcard::Error),
 }
 
-/// The framing on a connection: a frame follows its length in four bytes.
+/// Returns the codec of a connection: each frame is preceded by its length in four bytes.
 pub(super) fn framing() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
 
-/// The frame of a message, without its length.
+/// Encodes a message as a frame, without the length prefix.
 ///
 /// # Errors
 ///
-/// When the message can't be serialized.
+/// Returns an error if the message cannot be serialized.
 pub fn encode(message: &Message) -> Result<Bytes, postcard::Error> {
     postcard::to_stdvec(&Frame {
         version: VERSION,
@@ -50,11 +51,11 @@
     .map(Bytes::from)
 }
 
-/// The message of a frame, without its length.
+/// Decodes the message of a frame without the length prefix.
 ///
 /// # Errors
 ///
-/// When the frame is of another version or malformed.
+/// Returns an error if the frame is of another version or malformed.
 pub fn decode(frame: &[u8]) -> Result<Message, DecodeError> {
     let (version, body) = postcard::take_from_bytes::<u16>(frame)?;
     if version != VERSION {
--- a/src/mesh/codec/tests.rs
+++ b/src/mesh/codec/tests.rs
@@ -1,3 +1,6 @@
+//! Guards against changes to the wire form of frames. During a rolling upgrade, two versions would
+//! then misread each other's messages.
+
 use super::*;
 use crate::clock::Micros;
 use crate::ids::{PartitionId, Revision, Term};
@@ -6,7 +9,7 @@
 use zone_failover::evidence::{ZoneCounts, ZoneEvidence};
 
 #[test]
-fn frames_round_trip_and_those_of_other_versions_are_dropped() {
+fn frames_round_trip_and_frames_of_other_versions_are_rejected() {
     let state = PeerState {
         sender: "c0".into(),
         incarnation: Revision(3),
@@ -53,7 +56,7 @@
 
 #[test]
 fn every_kind_of_message_keeps_its_bytes() {
-    // Two partitions, and of each boolean the other value than in the production fixtures.
+    // Two partitions. Each boolean has the opposite value of that in the production fixtures.
     let capacity_request =
         "0000000000000440 000000000000f03f 0000000000003040 00 00 00 ac02 000000000000e03f 00";
     let partition = format!("ac02 f0a204 01 {capacity_request} 02 036d2d31 036d2d32");
@@ -125,7 +128,7 @@
     assert_eq!(
         decode(&bytes("02 03 00")),
         Err(DecodeError::Malformed(postcard::Error::SerdeDeCustom)),
-        "an unknown kind of message"
+        "an unknown kind of message is malformed"
     );
 }
 
@@ -134,6 +137,8 @@
     use tokio_util::codec::Encoder;
     let mut sent = bytes::BytesMut::new();
     let frame = Bytes::from(bytes("0201036a2d3107"));
-    framing().encode(frame, &mut sent).expect("it fits");
+    framing()
+        .encode(frame, &mut sent)
+        .expect("the frame is within the maximum length");
     assert_eq!(sent[..], bytes("00000007 0201036a2d3107"));
 }
--- a/src/mesh/messages.rs
+++ b/src/mesh/messages.rs
@@ -1,7 +1,7 @@
-//! The messages that controllers send each other.
+//! The messages that controllers send to each other.
 //!
-//! Postcard is positional: the order and the types of variants and fields are the wire form
-//! and must never change within a frame version.
+//! Postcard is a positional format: the order and the types of variants and fields are the wire
+//! form. They must never change within a frame version.
 
 use crate::clock::Micros;
 use crate::ids::{JobId, Label, MachineId, PartitionId, Revision, Term};
@@ -9,51 +9,52 @@
 use serde::{Deserialize, Serialize};
 use zone_failover::evidence::ZoneEvidence;
 
-/// The state of a partition, as its owner sends it.
+/// The state of a partition, as sent by its owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PartitionState {
-    /// When it was received, by the receiver's monotonic clock. Not sent.
+    /// Time of receipt, by the receiver's monotonic clock. Not part of the wire form.
     #[serde(skip)]
     pub received_at: Micros,
     /// The partition.
     pub partition: PartitionId,
-    /// The term of the owner's grant.
+    /// The fencing term of the owner's grant.
     pub term: Term,
-    /// The capacity that its pending tasks lack.
+    /// The missing capacity for the partition's pending tasks.
     pub capacity_requests: Vec<CapacityRequest>,
-    /// Idle machines that its owner offers for release.
+    /// Idle machines that the owner offers for release.
     pub releasable_machines: Vec<MachineId>,
 }
 
-/// The state of a controller, which it sends at a fixed interval.
+/// The state of a controller, which the controller sends to its peers at a fixed interval.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerState {
-    /// The controller that sends it.
+    /// The label of the sending controller.
     pub sender: Label,
-    /// The sender's incarnation.
+    /// The sender's incarnation, by the revision of its member key; 0 if the sender is not a
+    /// member.
     pub incarnation: Revision,
-    /// Whether it reaches the key-value store.
+    /// Whether the sender reaches the key-value store.
     pub store_reachable: bool,
-    /// Whether it receives its machines' heartbeats.
+    /// Whether the sender receives the heartbeats of its machines.
     pub workers_reachable: bool,
-    /// The partitions that it owns.
+    /// The states of the partitions that the sender owns.
     pub partitions: Vec<PartitionState>,
 }
 
 /// A message between controllers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The state of a controller and of its partitions.
+    /// The state of a controller and of the partitions that it owns.
     PeerState(PeerState),
-    /// The store has committed a job's cancellation at this revision. The owner of its
-    /// partition receives it here before its watch does, or while the store is unreachable.
+    /// The cancellation of a job, which the store has committed. This message reaches the owner
+    /// of the job's partition sooner than the owner's watch, or while the store is unreachable.
     Cancelled {
         /// The cancelled job.
         job: JobId,
-        /// The store's revision at which it was cancelled.
+        /// The store's revision at which the cancellation was committed.
         revision: Revision,
     },
-    /// A controller's evidence on the health of the zones. Sent only where zone failover is
-    /// on; versions that do not know it drop the frame.
+    /// A controller's evidence on the health of the zones. Sent only if zone failover is enabled.
+    /// Versions that do not know this message drop the frame.
     ZoneEvidence(ZoneEvidence),
 }
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -1,8 +1,8 @@
 //! The mesh: messages between controllers, as versioned postcard frames over TCP.
 //!
-//! Owns the messages, their frames, and the connections to and from peers. The mesh only
-//! speeds things up: no rule may depend on a message, so a lost, late or repeated frame does
-//! no harm.
+//! This module owns the messages, their frames, and the connections to and from peers. Messages
+//! only reduce latency: correctness must never depend on them, so a lost, late or repeated frame
+//! is harmless.
 
 mod codec;
 mod messages;
--- a/src/mesh/receiver.rs
+++ b/src/mesh/receiver.rs
@@ -1,7 +1,7 @@
 //! The receiving side of the mesh: connections from peers.
 //!
-//! Owns the peers' connections and how many there may be. It must never let peers that don't
-//! close theirs use up the controller's sockets.
+//! This module owns the incoming connections and bounds their number. Peers that never close
+//! their connections must not use up the controller's sockets.
 
 use super::codec::{decode, framing};
 use super::messages::Message;
@@ -15,13 +15,14 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// A connection without a frame for so long is closed: its peer is lost or isolated.
+/// Time without a frame after which a connection is closed, because its peer has failed or is
+/// isolated.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long to wait before a failed accept is retried.
+/// Time to wait before a failed accept is retried.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Accepts peers' connections, at most `max_connections` at once, and forwards their messages.
-/// Must run in a [`LocalSet`](tokio::task::LocalSet).
+/// Accepts peers' connections, at most `max_connections` at the same time, and forwards the
+/// received messages to `messages`. Must run in a [`LocalSet`](tokio::task::LocalSet).
 pub async fn listen(
     listener: TcpListener,
     max_connections: usize,
@@ -46,7 +47,8 @@
     }
 }
 
-/// Forwards the messages of one connection until it ends.
+/// Forwards the messages of one connection until it is closed, fails or is idle for
+/// `IDLE_TIMEOUT`.
 async fn receive(stream: TcpStream, messages: &mpsc::Sender<Message>, dropped_frames: &Cell<u64>) {
     let mut connection = Framed::new(stream, framing());
     while let Ok(Some(Ok(frame))) = timeout(IDLE_TIMEOUT, connection.next()).await {
@@ -56,7 +58,8 @@
                     return;
                 }
             }
-            // Of another version, most likely: the mesh only speeds things up.
+            // The frame is most likely of another version. Dropping it is harmless, because
+            // messages only reduce latency.
             Err(reason) => {
                 let dropped = dropped_frames.get() + 1;
                 dropped_frames.set(dropped);
--- a/src/mesh/sender.rs
+++ b/src/mesh/sender.rs
@@ -1,7 +1,7 @@
 //! The sending side of the mesh: one connection to each peer.
 //!
-//! Owns the connection and its retries. It must never queue what a peer does not take: only
-//! the newest frames matter.
+//! This module owns the outgoing connections and their retries. Frames that a peer does not accept
+//! are dropped instead of queued, because only the newest frames matter.
 
 use super::codec::framing;
 use bytes::Bytes;
@@ -13,16 +13,17 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// How long a peer may take to accept a connection.
+/// Timeout for establishing a connection to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a peer may take to accept a frame.
+/// Timeout for sending a frame to a peer.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long to wait before a lost connection is retried.
+/// Time to wait before reconnecting after a connection failed.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Sends frames to one peer, reconnecting as needed, until the queue of `frames` is closed.
-/// The queue is short, and its filler drops what does not fit; what was queued while there
-/// was no connection is dropped here.
+/// Sends frames to one peer until the queue `frames` is closed, and reconnects after failures.
+///
+/// The queue is short, and its producer drops frames while the queue is full. Frames that were
+/// queued while there was no connection are dropped here.
 pub async fn dial(addr: SocketAddrV4, mut frames: mpsc::Receiver<Bytes>) {
     loop {
         if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await {
@@ -38,7 +39,7 @@
 
 /// Sends frames until the connection fails or the queue is closed.
 async fn send_frames(stream: TcpStream, frames: &mut mpsc::Receiver<Bytes>) {
-    // Without it frames may only be late, which does no harm.
+    // If TCP_NODELAY cannot be set, frames are only delayed, which is harmless.
     let _ = stream.set_nodelay(true);
     let mut connection = Framed::new(stream, framing());
     while let Some(frame) = frames.recv().await {
