--- a/src/http_client/mod.rs
+++ b/src/http_client/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 requests over kept, bounded connections, with a deadline on every wait.
+//! An HTTP/1.1 client with bounded pools of persistent connections and a deadline on every wait.
 //!
-//! It owns the connections and says of each failed request whether it can have been carried
-//! out. It never retries a request that may have left the process, and it knows nothing of
-//! what the requests mean.
+//! This module owns the connections, and reports for each failed request whether it may have
+//! been carried out. It never retries a request of which any part may have been sent. Requests
+//! are opaque here: their meaning belongs to the callers.
 
 mod pools;
 
@@ -20,33 +20,34 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-/// A new connection that is not established after this is given up.
+/// Timeout for establishing a new connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Why a request has no response.
+/// The reason why a request has no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// It was surely not carried out: nothing of it left the process.
+    /// The request was not carried out, because no part of it was sent.
     #[error("the request was not sent")]
     NotSent,
-    /// It may have been carried out, or may still be.
+    /// At least part of the request may have been sent, and there is no complete response. The
+    /// request may have been carried out, or may still be.
     #[error("the request was sent, but has no response")]
     NoAnswer,
 }
 
-/// One request to a service.
+/// An HTTP request to a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HttpRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: &'static str,
-    /// The path with its query.
+    /// The path, with the query if there is one.
     pub path: String,
-    /// The JSON body, if it has one.
+    /// The JSON body; `None` for an empty body.
     pub body: Option<serde_json::Value>,
 }
 
 impl HttpRequest {
-    /// A `GET` request.
+    /// Creates a `GET` request.
     pub fn get(path: String) -> Self {
         HttpRequest {
             method: "GET",
@@ -55,7 +56,7 @@
         }
     }
 
-    /// A `POST` request with a JSON body.
+    /// Creates a `POST` request with a JSON body.
     pub fn post(path: String, body: serde_json::Value) -> Self {
         HttpRequest {
             method: "POST",
@@ -64,7 +65,8 @@
         }
     }
 
-    /// The request as it goes out to an address; none if it is no valid HTTP request.
+    /// Converts the request to a `hyper` request to this address. Returns `None` if the method, the
+    /// path or the address is not valid in HTTP.
     fn to_hyper(&self, addr: &str) -> Option<Request<Full<Bytes>>> {
         let body = self.body.as_ref();
         let bytes = body.map_or_else(Bytes::new, |json| Bytes::from(json.to_string()));
@@ -80,22 +82,23 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// A connection that can take a request now.
+/// A connection that is ready for a request.
 struct Connection {
     sender: Sender,
-    /// It has carried a request before, so the other side may have closed it meanwhile.
+    /// Whether the connection comes from the pool. The server may have closed such a connection
+    /// since its last request.
     is_reused: bool,
 }
 
-/// What came of handing a request to a connection.
+/// The outcome of passing a request to a connection.
 enum Exchange {
-    /// The head of its response.
+    /// The response, whose body has not been read yet.
     Response(Response<Incoming>),
-    /// The kept connection was closed before anything of the request went out on it.
+    /// The pooled connection was closed before any part of this request was sent.
     Unsent(Request<Full<Bytes>>),
 }
 
-/// Kept connections to one address.
+/// A bounded pool of persistent connections to one address.
 pub struct ConnectionPool {
     addr: String,
     idle: RefCell<Vec<Sender>>,
@@ -104,7 +107,8 @@
 }
 
 impl ConnectionPool {
-    /// A pool of at most `max_connections` connections to an address; it opens none yet.
+    /// Creates a pool of at most `max_connections` connections to an address. Connections are
+    /// opened on demand.
     pub fn new(addr: String, max_connections: usize) -> Self {
         ConnectionPool {
             addr,
@@ -114,13 +118,14 @@
         }
     }
 
-    /// Sends one request and waits for the status and the body of its response, for
-    /// `within` at most.
+    /// Sends a request and returns the status and the body of the response. The timeout `within`
+    /// covers the connection, the request and the response.
     ///
     /// # Errors
     ///
-    /// [`RequestError::NotSent`] if nothing of it left the process: no connection was free
-    /// or could be opened in time. [`RequestError::NoAnswer`] if it may have been carried out.
+    /// Returns [`RequestError::NotSent`] if no part of the request was sent, for example because
+    /// all connections were in use or none could be opened in time. Returns
+    /// [`RequestError::NoAnswer`] if the request may have been carried out.
     pub async fn send(
         &self,
         request: &HttpRequest,
@@ -130,8 +135,9 @@
         let mut request = request.to_hyper(&self.addr).ok_or(RequestError::NotSent)?;
         loop {
             let mut connection = self.ready_connection(deadline).await?;
-            // Guards against a pause of the process while connecting: what comes after it is ready
-            // at once, however late, and a deadline alone would let it pass.
+            // The deadline is checked again because the process may have paused while connecting.
+            // A timeout does not fire if the awaited connection is ready when it is polled, however
+            // late that is.
             if Instant::now() >= deadline {
                 return Err(RequestError::NotSent);
             }
@@ -140,19 +146,19 @@
                 Exchange::Response(response) => {
                     let status = response.status().as_u16();
                     let body = read_body(response, deadline).await?;
-                    self.keep(connection.sender);
+                    self.return_to_pool(connection.sender);
                     return Ok((status, body));
                 }
             }
         }
     }
 
-    /// A kept connection that is still open, or a new one.
+    /// Returns an open connection from the pool, or a new one if there is none.
     async fn ready_connection(&self, deadline: Instant) -> Result<Connection, RequestError> {
         loop {
-            let kept = self.idle.borrow_mut().pop();
-            let is_reused = kept.is_some();
-            let mut sender = match kept {
+            let pooled = self.idle.borrow_mut().pop();
+            let is_reused = pooled.is_some();
+            let mut sender = match pooled {
                 Some(sender) => sender,
                 None => self.connect(deadline).await.ok_or(RequestError::NotSent)?,
             };
@@ -172,7 +178,7 @@
             return None;
         }
         let deadline = deadline.min(Instant::now() + CONNECT_TIMEOUT);
-        // A connection attempt that was given up does not complete later.
+        // A connection attempt that timed out is cancelled and does not complete later.
         let stream = timeout_at(deadline, TcpStream::connect(&self.addr))
             .await
             .ok()?
@@ -191,8 +197,8 @@
         Some(sender)
     }
 
-    /// Keeps a connection for the next request, unless the other side has closed it.
-    fn keep(&self, sender: Sender) {
+    /// Returns a connection to the pool, unless it is closed.
+    fn return_to_pool(&self, sender: Sender) {
         if !sender.is_closed() {
             self.idle.borrow_mut().push(sender);
         }
--- a/src/http_client/pools.rs
+++ b/src/http_client/pools.rs
@@ -1,16 +1,21 @@
-//! Pools of kept connections to many addresses, bounded in number.
+//! Connection pools for a bounded number of addresses.
 //!
-//! It owns which addresses keep a pool. It never closes a connection with a request on it.
+//! This module decides which addresses keep a pool, and drops the pools of addresses that are
+//! no longer used. A connection with a request in flight is never closed.
 
 use super::ConnectionPool;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Connections to one of many addresses: a command, and one more while it has no response.
+/// Maximum number of connections per address: one for a command, and one for a second command
+/// while the first has no response.
 const CONNECTIONS_PER_ADDRESS: usize = 2;
 
-/// Kept connections to many addresses, so that a direct command costs no new one. In two
-/// generations: an address that was not used since the younger one began goes first.
+/// Connection pools by address, so that a direct command does not need a new connection.
+///
+/// There are two generations of pools. A pool moves to the young generation when it is used. Once
+/// the young generation holds half of the allowed addresses, it becomes the old generation. The
+/// pools of the previous old generation are dropped: they were not used during that time.
 pub struct ConnectionPools {
     max_addresses: usize,
     young: BTreeMap<String, Rc<ConnectionPool>>,
@@ -18,7 +23,7 @@
 }
 
 impl ConnectionPools {
-    /// Pools for at most `max_addresses` addresses.
+    /// Creates an empty set of pools for at most `max_addresses` addresses.
     pub fn new(max_addresses: usize) -> Self {
         ConnectionPools {
             max_addresses,
@@ -27,14 +32,15 @@
         }
     }
 
-    /// The pool of an address.
+    /// Returns the pool of an address, creating it if there is none.
     pub fn for_address(&mut self, addr: &str) -> Rc<ConnectionPool> {
         if let Some(pool) = self.young.get(addr) {
             return pool.clone();
         }
         if self.young.len() >= self.max_addresses / 2 {
-            // Guards against a socket kept for each of thousands of machines. Open
-            // requests go on; what is idle is closed.
+            // Without this bound, a socket would be kept for each of thousands of machines. The
+            // idle connections of the dropped pools are closed. Requests in flight hold their
+            // pool until they complete.
             self.old = std::mem::take(&mut self.young);
         }
         let pool = self.old.remove(addr).unwrap_or_else(|| {
