--- a/src/api/read_index.rs
+++ b/src/api/read_index.rs
@@ -82,7 +82,7 @@
     request_ids: Vec<u64>,
 }
 
-/// Cache of the ended records that were read last.
+/// Cache of ended records, which evicts the oldest entry first.
 #[derive(Default)]
 struct EndedRecordCache {
     records: BTreeMap<JobId, EndedRecord>,
