--- a/src/api/cancellations.rs
+++ b/src/api/cancellations.rs
@@ -3,8 +3,8 @@
 //! A cancellation is idempotent: a repeat is answered with the state in which the job ended.
 
 use super::answers::{ApiError, STORE_UNREACHABLE, UserAnswer};
+use super::channels::CancelledJob;
 use super::context::{ApiContext, MAX_WRITE_ATTEMPTS, job_in_path};
-use super::ports::CancelledJob;
 use super::read_index::JobLookup;
 use crate::clock::wall_clock_now;
 use crate::ids::{JobId, Revision};
--- a/src/api/context.rs
+++ b/src/api/context.rs
@@ -4,7 +4,7 @@
 //! This module defines the timeouts of the requests. If a channel is full, the request is refused
 //! immediately instead of waiting, and the answer says when to retry.
 
-use super::ports::{ApiChannels, StatusQuery, StoreQuery};
+use super::channels::{ApiChannels, StatusQuery, StoreQuery};
 use super::read_index::JobLookup;
 use crate::clock::MonotonicClock;
 use crate::ids::JobId;
--- a/src/api/heartbeats.rs
+++ b/src/api/heartbeats.rs
@@ -1,9 +1,9 @@
 //! The endpoint for the workers' heartbeats.
 
 use super::answers::WorkerAnswer;
+use super::channels::{HeartbeatAnswer, HeartbeatRequest};
 use super::connection_limiter::ConnectionLimiter;
 use super::context::{ApiContext, UNREADABLE_BODY, read_body};
-use super::ports::{HeartbeatAnswer, HeartbeatRequest};
 use crate::workers::Heartbeat;
 use salvo::http::StatusCode;
 use salvo::http::header::{CONNECTION, HeaderValue};
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -1,11 +1,11 @@
 //! Starts the HTTP server on its address, with its connection limit and its routes.
 
 use super::cancellations::CancelHandler;
+use super::channels::ApiChannels;
 use super::connection_limiter::ConnectionLimiter;
 use super::context::ApiContext;
 use super::health::HealthHandler;
 use super::heartbeats::HeartbeatHandler;
-use super::ports::ApiChannels;
 use super::status::StatusHandler;
 use super::submissions::SubmitHandler;
 use crate::clock::MonotonicClock;
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -6,8 +6,8 @@
 //! the owner of the team's partition and the state of the store.
 
 use super::answers::{ApiError, STORE_UNREACHABLE, UserAnswer};
+use super::channels::TeamPartition;
 use super::context::{ApiContext, MAX_WRITE_ATTEMPTS, UNREADABLE_BODY, read_body};
-use super::ports::TeamPartition;
 use super::read_index::JobLookup;
 use crate::clock::wall_clock_now;
 use crate::ids::{JobId, Revision};
--- a/src/api/tests/mod.rs
+++ b/src/api/tests/mod.rs
@@ -6,11 +6,11 @@
 mod wire_form;
 
 use super::answers::UserAnswer;
-use super::context::ApiContext;
-use super::ports::{
+use super::channels::{
     ApiChannels, ApiView, CancelledJob, HeartbeatAnswer, HeartbeatRequest, StatusQuery, StoreQuery,
     TeamPartition,
 };
+use super::context::ApiContext;
 use super::read_index::JobLookup;
 use crate::clock::{Micros, MonotonicClock};
 use crate::ids::{FencingToken, JobId, PartitionId, Revision, Term};
--- a/src/api/tests/submissions.rs
+++ b/src/api/tests/submissions.rs
@@ -2,7 +2,7 @@
     LookUp, StoreReply, ended, job_body, live, not_found, status, store_with_two_jobs, submit,
     submit_with_dependencies, user_context, view,
 };
-use crate::api::ports::ApiView;
+use crate::api::channels::ApiView;
 use crate::api::read_index::JobLookup;
 use crate::api::submissions::REPEAT_LOOKUP_TIMEOUT;
 use crate::ids::Revision;
--- a/src/api/tests/wire_form.rs
+++ b/src/api/tests/wire_form.rs
@@ -6,8 +6,8 @@
     worker_context,
 };
 use crate::api::answers::{UserAnswer, WorkerAnswer};
+use crate::api::channels::{ApiView, HeartbeatAnswer, HeartbeatRequest};
 use crate::api::health::HealthHandler;
-use crate::api::ports::{ApiView, HeartbeatAnswer, HeartbeatRequest};
 use crate::api::read_index::JobLookup;
 use crate::clock::Micros;
 use crate::ids::Revision;
--- a/src/controller/core/api_view.rs
+++ b/src/controller/core/api_view.rs
@@ -4,7 +4,7 @@
 
 use super::Core;
 use super::effects::read_index_effect;
-use crate::api::ports::{ApiView, TeamPartition};
+use crate::api::channels::{ApiView, TeamPartition};
 use crate::clock::Micros;
 use crate::controller::messages::Effect;
 use crate::ids::{JobId, Revision, Term};
--- a/src/controller/core/heartbeats.rs
+++ b/src/controller/core/heartbeats.rs
@@ -4,7 +4,7 @@
 //! owner may act. No other controller may issue a fencing token for the machine.
 
 use super::Core;
-use crate::api::ports::HeartbeatAnswer;
+use crate::api::channels::HeartbeatAnswer;
 use crate::clock::Micros;
 use crate::controller::messages::DirectAnswer;
 use crate::ids::{MachineId, PartitionId, Term};
--- a/src/controller/driver.rs
+++ b/src/controller/driver.rs
@@ -7,7 +7,7 @@
 use super::core::Core;
 use super::direct_commands::send_direct_command;
 use super::messages::{DirectAnswer, Effect, Input, StoreOperation};
-use crate::api::ports::{ApiView, HeartbeatAnswer, HeartbeatRequest, StatusQuery};
+use crate::api::channels::{ApiView, HeartbeatAnswer, HeartbeatRequest, StatusQuery};
 use crate::api::read_index::JobLookup;
 use crate::clock::{Micros, MonotonicClock, wall_clock_now};
 use crate::cloud::CloudRequest;
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -3,7 +3,7 @@
 //! The driver converts requests, replies and messages to these types. The core has no other
 //! input or output.
 
-use crate::api::ports::{ApiView, HeartbeatAnswer};
+use crate::api::channels::{ApiView, HeartbeatAnswer};
 use crate::api::read_index::JobLookup;
 use crate::autoscaler;
 use crate::clock::Micros;
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -7,7 +7,7 @@
 use super::messages::Input;
 use super::store_tasks::{execute_store_queries, watch_store};
 use crate::api;
-use crate::api::ports::{
+use crate::api::channels::{
     ApiChannels, ApiView, CancelledJob, HeartbeatRequest, StatusQuery, StoreQuery,
 };
 use crate::clock::MonotonicClock;
--- a/src/controller/store_tasks.rs
+++ b/src/controller/store_tasks.rs
@@ -3,7 +3,7 @@
 //! They hold no state of the controller. The core interprets what they read.
 
 use super::messages::{Input, StoreChanges, StoreSnapshot};
-use crate::api::ports::StoreQuery;
+use crate::api::channels::StoreQuery;
 use crate::clock::MonotonicClock;
 use crate::ids::Revision;
 use crate::store::RequestPriority;
--- a/src/controller/tests/characterization.rs
+++ b/src/controller/tests/characterization.rs
@@ -8,7 +8,7 @@
 //! `INSTA_UPDATE=always cargo test --lib characterization` and says so in its message.
 
 use super::fault_pairs::{HistoryKind, recorded_pair};
-use crate::api::ports::{ApiView, HeartbeatAnswer};
+use crate::api::channels::{ApiView, HeartbeatAnswer};
 use crate::api::read_index::JobLookup;
 use crate::clock::Micros;
 use crate::controller::direct_commands::direct_request;
--- a/src/controller/tests/heartbeats.rs
+++ b/src/controller/tests/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats: only the partition's owner accepts them, and late copies of them have no effect.
 
 use super::simulation::Simulation;
-use crate::api::ports::HeartbeatAnswer;
+use crate::api::channels::HeartbeatAnswer;
 use crate::ids::{FencingToken, MachineId};
 use crate::jobs::JobState;
 use crate::jobs::tests::desc;
--- a/src/controller/tests/leases.rs
+++ b/src/controller/tests/leases.rs
@@ -2,7 +2,7 @@
 //! another controller takes over.
 
 use super::simulation::Simulation;
-use crate::api::ports::HeartbeatAnswer;
+use crate::api::channels::HeartbeatAnswer;
 use crate::jobs::tests::desc;
 
 /// An owner cannot renew its lease during an outage of the store. It must answer heartbeats until
--- a/src/controller/tests/partition_ownership.rs
+++ b/src/controller/tests/partition_ownership.rs
@@ -2,7 +2,7 @@
 //! each machine is recorded in exactly one partition.
 
 use super::simulation::{HeldTransaction, Simulation};
-use crate::api::ports::HeartbeatAnswer;
+use crate::api::channels::HeartbeatAnswer;
 use crate::ids::MachineId;
 use crate::jobs::tests::desc;
 use crate::partitions::ShardRecord;
--- a/src/controller/tests/process_pauses.rs
+++ b/src/controller/tests/process_pauses.rs
@@ -5,7 +5,7 @@
 //! expired.
 
 use super::simulation::{Simulation, secs};
-use crate::api::ports::HeartbeatAnswer;
+use crate::api::channels::HeartbeatAnswer;
 use crate::controller::messages::Input;
 use crate::jobs::tests::desc;
 
--- a/src/controller/tests/restarts.rs
+++ b/src/controller/tests/restarts.rs
@@ -1,7 +1,7 @@
 //! Restarts and crashes of controllers: all at the same time, immediately, or repeatedly.
 
 use super::simulation::{Simulation, secs};
-use crate::api::ports::HeartbeatAnswer;
+use crate::api::channels::HeartbeatAnswer;
 use crate::jobs::JobState;
 use crate::jobs::tests::desc;
 use crate::store::{Reply, keys};
--- a/src/controller/tests/simulation/controller.rs
+++ b/src/controller/tests/simulation/controller.rs
@@ -6,7 +6,7 @@
 
 use super::network::ControllerFaults;
 use super::{Simulation, secs};
-use crate::api::ports::{ApiView, HeartbeatAnswer};
+use crate::api::channels::{ApiView, HeartbeatAnswer};
 use crate::clock::Micros;
 use crate::controller::core::Core;
 use crate::controller::messages::{DirectAnswer, Effect, Input, StoreChanges, StoreSnapshot};
--- a/src/controller/tests/simulation/network.rs
+++ b/src/controller/tests/simulation/network.rs
@@ -4,7 +4,7 @@
 //! This module owns the messages in transit. It never changes the content of a message.
 
 use super::Simulation;
-use crate::api::ports::HeartbeatAnswer;
+use crate::api::channels::HeartbeatAnswer;
 use crate::controller::messages::{DirectAnswer, Input, StoreOperation};
 use crate::ids::MachineId;
 use crate::store::{Compare, Mutation, Reply, Request};
--- a/src/controller/tests/store_outages.rs
+++ b/src/controller/tests/store_outages.rs
@@ -2,7 +2,7 @@
 //! controllers, answers to status queries, and running tasks.
 
 use super::simulation::{LookupAnswer, Simulation};
-use crate::api::ports::HeartbeatAnswer;
+use crate::api::channels::HeartbeatAnswer;
 use crate::api::read_index::JobLookup;
 use crate::jobs::JobState;
 use crate::jobs::tests::desc;
