--- a/src/api/tests/wire_form.rs
+++ b/src/api/tests/wire_form.rs
@@ -42,7 +42,7 @@
         answer.render(&mut response);
         status_headers_and_body(response)
     };
-    let response = |status, body: &str| (status, " application/json".to_owned(), body.to_owned());
+    let reply = |status, body: &str| (status, " application/json".to_owned(), body.to_owned());
     let retry_later = |reason: &str| {
         let body = format!(r#"{{"error":"{reason}"}}"#);
         (503, "1 application/json".to_owned(), body)
@@ -51,15 +51,15 @@
     let answer = rendered(submit(view(), committed, not_found).await);
     assert_eq!(
         answer,
-        response(201, r#"{"id":"j-000412","standing":"pending"}"#)
+        reply(201, r#"{"id":"j-000412","standing":"pending"}"#)
     );
     let context_with = |look_up| user_context(view(), committed, look_up);
     let (known, unknown) = (context_with(|_| live()), context_with(not_found));
     let running = r#"{"done":1,"id":"j-000412","running":2,"standing":"running"}"#;
     let answer = rendered(known.status("j-000412").await);
-    assert_eq!(answer, response(200, running));
+    assert_eq!(answer, reply(200, running));
     let cancelled = rendered(known.cancel("j-000412").await);
-    let expected = response(200, r#"{"id":"j-000412","standing":"cancelled"}"#);
+    let expected = reply(200, r#"{"id":"j-000412","standing":"cancelled"}"#);
     assert_eq!(cancelled, expected);
     let ends: [(LookUp, &str); 2] = [
         (
@@ -73,25 +73,22 @@
     ];
     for (look_up, body) in ends {
         let answer = rendered(context_with(look_up).status("j-000412").await);
-        assert_eq!(answer, response(200, body));
+        assert_eq!(answer, reply(200, body));
     }
     let answer = rendered(unknown.submit(b"{").await);
     let body = r#"{"error":"not JSON: EOF while parsing an object at line 1 column 1"}"#;
-    assert_eq!(answer, response(400, body));
+    assert_eq!(answer, reply(400, body));
     for answer in [
         unknown.status("j-1").await,
         unknown.cancel("j-1").await,
         known.status("x").await,
     ] {
-        assert_eq!(
-            rendered(answer),
-            response(404, r#"{"error":"no such job"}"#)
-        );
+        assert_eq!(rendered(answer), reply(404, r#"{"error":"no such job"}"#));
     }
     let mut other = job_body();
     other["crew"] = json!("green");
     let answer = rendered(unknown.submit(other.to_string().as_bytes()).await);
-    assert_eq!(answer, response(422, r#"{"error":"unknown team green"}"#));
+    assert_eq!(answer, reply(422, r#"{"error":"unknown team green"}"#));
     let answer = rendered(context_with(|_| JobLookup::Unavailable).status("j-1").await);
     assert_eq!(answer, retry_later("the state service can't be reached"));
     let no_types = ApiView {
@@ -107,15 +104,15 @@
     let heartbeat = r#"{"rig":"m-1","addr":"a:1","build":"big","yard":"x","loaners":false,"shift":1,"tally":1,"baton":0,"hands":[]}"#;
     let status_and_body =
         |answer: WorkerAnswer| (answer.status().as_u16(), answer.body().to_string());
-    let response = |status, body: &str| (status, body.to_owned());
+    let reply = |status, body: &str| (status, body.to_owned());
     let mut context = worker_context(view(), no_commands(Micros::from_secs(3_600.0)));
     let answer = context.heartbeat(heartbeat.as_bytes()).await;
     assert_eq!(
         status_and_body(answer),
-        response(200, r#"{"baton":7,"orders":[]}"#)
+        reply(200, r#"{"baton":7,"orders":[]}"#)
     );
     let answer = context.heartbeat(b"{").await;
-    let expected = response(400, r#"{"error":"malformed report"}"#);
+    let expected = reply(400, r#"{"error":"malformed report"}"#);
     assert_eq!(status_and_body(answer), expected);
     let (heartbeats, mut sent_heartbeats) = mpsc::channel::<HeartbeatRequest>(16);
     context.channels.heartbeats = heartbeats;
@@ -125,12 +122,9 @@
         drop(sent_heartbeats.recv().await);
     });
     let answer = context.heartbeat(heartbeat.as_bytes()).await;
-    assert_eq!(
-        status_and_body(answer),
-        response(421, r#"{"answerTo":"c1"}"#)
-    );
+    assert_eq!(status_and_body(answer), reply(421, r#"{"answerTo":"c1"}"#));
     let answer = context.heartbeat(heartbeat.as_bytes()).await;
-    let expected = response(503, r#"{"error":"not entitled to answer"}"#);
+    let expected = reply(503, r#"{"error":"not entitled to answer"}"#);
     assert_eq!(status_and_body(answer), expected);
 }
 
