--- a/src/api/answers.rs
+++ b/src/api/answers.rs
@@ -1,6 +1,7 @@
 //! The answers to users and workers, and their mapping to HTTP status, headers and JSON bodies.
 //!
-//! The texts and field names in the bodies are part of the protocol and must never change.
+//! The statuses, the headers and the field names of the bodies are the protocol and must never
+//! change. The texts in the field `error` explain an error to people and may be reworded.
 
 use super::read_index::JobLookup;
 use crate::ids::{JobId, Label};
@@ -72,7 +73,7 @@
 
 /// The answer to a user while the key-value store cannot be reached.
 pub(super) const STORE_UNREACHABLE: UserAnswer =
-    UserAnswer::Unavailable("the state service can't be reached");
+    UserAnswer::Unavailable("the cluster's key-value store can't be reached; retry");
 
 impl UserAnswer {
     /// Logs and returns the permanent rejection of a submission.
--- a/src/api/cancellations.rs
+++ b/src/api/cancellations.rs
@@ -58,7 +58,7 @@
                 _ => return STORE_UNREACHABLE,
             }
         }
-        UserAnswer::Unavailable("the job changes too often just now")
+        UserAnswer::Unavailable("the job changed during every attempt to cancel it; retry")
     }
 
     /// Notifies the controller of a cancellation that the store committed at `revision`, and
--- a/src/api/context.rs
+++ b/src/api/context.rs
@@ -19,7 +19,7 @@
 /// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Error text for a request body that cannot be read.
-pub(super) const UNREADABLE_BODY: &str = "the body is over 64 KiB or broken off";
+pub(super) const UNREADABLE_BODY: &str = "the request body is larger than 64 KiB or incomplete";
 /// Maximum number of attempts of a write that conflicts with concurrent writes.
 pub(super) const MAX_WRITE_ATTEMPTS: usize = 4;
 /// Timeout of a request to the store.
--- a/src/api/heartbeats.rs
+++ b/src/api/heartbeats.rs
@@ -51,12 +51,14 @@
     /// Forwards a heartbeat to the controller and waits for the answer.
     pub(super) async fn heartbeat(&self, body: &[u8]) -> WorkerAnswer {
         let Ok(heartbeat) = serde_json::from_slice::<Heartbeat>(body) else {
-            return WorkerAnswer::Malformed("malformed report");
+            return WorkerAnswer::Malformed(
+                "malformed heartbeat: not JSON, or a field is missing or invalid",
+            );
         };
         let (answer, answered) = oneshot::channel();
         let request = HeartbeatRequest { heartbeat, answer };
         if self.channels.heartbeats.try_send(request).is_err() {
-            return WorkerAnswer::Unavailable("busy");
+            return WorkerAnswer::Unavailable("this controller's heartbeat queue is full; retry");
         }
         match tokio::time::timeout(HEARTBEAT_TIMEOUT, answered).await {
             // This is the last check before the answer is sent: the answer may have been delayed
@@ -68,7 +70,9 @@
                 WorkerAnswer::Accepted(response)
             }
             Ok(Ok(HeartbeatAnswer::Redirect(owner))) => WorkerAnswer::Redirect(owner),
-            _ => WorkerAnswer::Unavailable("not entitled to answer"),
+            _ => WorkerAnswer::Unavailable(
+                "no owner of the machine's partition answered under a valid lease; retry",
+            ),
         }
     }
 }
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -97,9 +97,8 @@
                 WriteOutcome::Indeterminate => return Err(STORE_UNREACHABLE),
             }
         }
-        // The protocol calls a partition a block.
         Err(UserAnswer::Unavailable(
-            "the team's block is changing hands",
+            "the owner of the team's partition is changing; retry",
         ))
     }
 
@@ -107,7 +106,9 @@
     fn admit(&self, job: &JobDesc) -> Result<TeamPartition, UserAnswer> {
         let view = self.channels.view.borrow().clone();
         let Some(machine_types) = &view.types else {
-            return Err(UserAnswer::Unavailable("machine types are not known yet"));
+            return Err(UserAnswer::Unavailable(
+                "this controller has not loaded the cloud's machine types yet; retry",
+            ));
         };
         job.admissible(&self.settings, machine_types)
             .map_err(UserAnswer::rejected_submission)?;
@@ -177,7 +178,7 @@
         job.recordable(&self.settings)
             .map_err(UserAnswer::rejected_submission)?;
         if self.channels.view.borrow().format < FormatLevel::DEPENDENCIES {
-            let reason = "not every controller can take jobs that need others yet";
+            let reason = "not every controller supports jobs with dependencies (hinges) yet; retry";
             return Err(UserAnswer::Unavailable(reason));
         }
         for id in &job.dependencies {
