--- a/src/partition_owner/failback.rs
+++ b/src/partition_owner/failback.rs
@@ -1,4 +1,4 @@
-//! Failback: moves tasks that were evacuated from a zone back to it once the zone has returned
+//! Failback: moves tasks that were evacuated from a zone back to it once the zone has recovered
 //! and has room, if moving them saves more than it costs.
 //!
 //! A task's home is the zone from which its job was evacuated.
@@ -55,12 +55,12 @@
         if !settings.move_running || self.is_being_handed_back() || !settings.is_open(wall_clock) {
             return;
         }
-        let returned = evacuation.situation.returned.iter();
-        let returned: Vec<ZoneId> = returned
+        let recovered = evacuation.situation.recovered.iter();
+        let recovered: Vec<ZoneId> = recovered
             .filter(|(_, zone)| wall_clock.since(zone.since) < settings.period)
             .map(|(id, _)| id.clone())
             .collect();
-        let candidates = self.failback_candidates(now, &returned);
+        let candidates = self.failback_candidates(now, &recovered);
         let targets: BTreeMap<AttemptKey, MachineId> = candidates
             .iter()
             .map(|candidate| (candidate.task.key.1.clone(), candidate.target.clone()))
@@ -76,10 +76,10 @@
 
     /// Returns the evacuated tasks for which there is room at home, each with a machine there.
     /// The room that one candidate takes is not available to later ones.
-    fn failback_candidates(&self, now: Micros, returned: &[ZoneId]) -> Vec<FailbackCandidate> {
+    fn failback_candidates(&self, now: Micros, recovered: &[ZoneId]) -> Vec<FailbackCandidate> {
         let heartbeat_timeout = self.heartbeat_timeout();
         let is_back = |machine: &Machine| {
-            let mut zones = returned.iter();
+            let mut zones = recovered.iter();
             zones.any(|zone| zone.as_str() == machine.spec.zone)
                 && placement::accepts_tasks(machine, now, heartbeat_timeout)
         };
@@ -92,7 +92,7 @@
         let mut candidates = Vec::new();
         for (machine_id, machine) in &self.machines {
             for (key, attempt) in &machine.attempts {
-                let Some(job) = self.job_to_move(machine, key, attempt, returned) else {
+                let Some(job) = self.job_to_move(machine, key, attempt, recovered) else {
                     continue;
                 };
                 let evacuated = EvacuatedAttempt {
@@ -114,18 +114,18 @@
         candidates
     }
 
-    /// Returns the job of an attempt if the attempt was evacuated from a zone that has returned
+    /// Returns the job of an attempt if the attempt was evacuated from a zone that has recovered
     /// and may be moved back there.
     fn job_to_move(
         &self,
         machine: &Machine,
         key: &AttemptKey,
         attempt: &Attempt,
-        returned: &[ZoneId],
+        recovered: &[ZoneId],
     ) -> Option<&Job> {
         let evacuation = self.zone_evacuation.as_ref()?;
         let home = evacuation.displaced_from(&key.task.job)?;
-        if !returned.contains(home) || machine.spec.zone == home.as_str() {
+        if !recovered.contains(home) || machine.spec.zone == home.as_str() {
             return None;
         }
         let job = self.jobs.get(&key.task.job)?;
--- a/src/partition_owner/tests.rs
+++ b/src/partition_owner/tests.rs
@@ -99,8 +99,8 @@
         let zone = serde_json::json!({"state": state, "epoch": 1, "since": 0, "relapses": 1});
         let zone = serde_json::from_value(zone).expect("a valid zone record");
         let situation = Rc::new(ZoneSituation {
-            troubled: BTreeMap::from([("x".into(), zone)]),
-            returned: BTreeMap::new(),
+            unhealthy: BTreeMap::from([("x".into(), zone)]),
+            recovered: BTreeMap::new(),
             patience: secs(30.0),
         });
         let owner = &mut fixture.owner;
--- a/src/zones/evacuation.rs
+++ b/src/zones/evacuation.rs
@@ -77,7 +77,7 @@
             self.situation = situation.clone();
             let suspect = |id: &ZoneId| self.situation.state(id.as_str()) == ZoneState::Suspect;
             self.suspect_since.retain(|id, _| suspect(id));
-            for id in self.situation.troubled.keys().filter(|id| suspect(id)) {
+            for id in self.situation.unhealthy.keys().filter(|id| suspect(id)) {
                 self.suspect_since.entry(id.clone()).or_insert(now);
             }
             self.waves.sync(&self.situation.lost());
@@ -149,7 +149,7 @@
     /// Returns whether tasks of a job must not be placed in a zone, see
     /// [`ZoneSituation::closed_to`].
     pub fn closed_to(&self, job: &Job, zone: &str, wall_clock: Micros) -> bool {
-        !self.situation.troubled.is_empty()
+        !self.situation.unhealthy.is_empty()
             && self
                 .situation
                 .closed_to(&job.desc, wall_clock.since(job.eligible_since()), zone)
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -38,9 +38,9 @@
 #[derive(Debug, PartialEq)]
 pub struct ZoneSituation {
     /// Records of the zones that are not healthy.
-    pub troubled: BTreeMap<ZoneId, ZoneRecord>,
+    pub unhealthy: BTreeMap<ZoneId, ZoneRecord>,
     /// Records of the zones that were lost and are healthy again.
-    pub returned: BTreeMap<ZoneId, ZoneRecord>,
+    pub recovered: BTreeMap<ZoneId, ZoneRecord>,
     /// Waiting time after which a job may use any machine whose heartbeats arrive, even in a zone
     /// that is lost or on probation.
     pub patience: Micros,
@@ -50,15 +50,15 @@
     /// Creates the situation in which all zones are healthy and none was ever lost.
     pub fn healthy(config: &ZoneFailoverConfig) -> Self {
         ZoneSituation {
-            troubled: BTreeMap::new(),
-            returned: BTreeMap::new(),
+            unhealthy: BTreeMap::new(),
+            recovered: BTreeMap::new(),
             patience: config.settings.health.patience,
         }
     }
 
     /// Returns the state of a zone.
     pub fn state(&self, zone: &str) -> ZoneState {
-        self.troubled
+        self.unhealthy
             .get(zone)
             .map_or(ZoneState::Healthy, |zone| zone.state)
     }
@@ -66,7 +66,7 @@
     /// Returns the records of the zones that are lost.
     pub fn lost(&self) -> BTreeMap<ZoneId, ZoneRecord> {
         let lost = self
-            .troubled
+            .unhealthy
             .iter()
             .filter(|(_, zone)| zone.state == ZoneState::Lost);
         lost.map(|(id, zone)| (id.clone(), zone.clone())).collect()
@@ -177,8 +177,8 @@
     fn refresh(&mut self, now: Micros) {
         self.last_refresh = now;
         let situation = ZoneSituation {
-            troubled: self.view.unhealthy(now),
-            returned: self.view.recovered(now),
+            unhealthy: self.view.unhealthy(now),
+            recovered: self.view.recovered(now),
             patience: self.situation.patience,
         };
         if situation != *self.situation {
