--- a/src/partition_owner/failover.rs
+++ b/src/partition_owner/failover.rs
@@ -8,7 +8,7 @@
 use super::OwnedPartition;
 use crate::clock::Micros;
 use crate::fairness::Resources;
-use crate::placement::{FailoverRecovery, SilentMachines};
+use crate::placement::{FailoverRecovery, UnconfirmedMachineKind};
 use crate::workers::Machine;
 
 /// Progress of the recovery from a failover.
@@ -73,11 +73,11 @@
 
     /// Updates which kinds of machines are unconfirmed.
     pub(super) fn update_recovery(&mut self, now: Micros) {
-        let silent = self.unconfirmed_kinds();
-        let recovery = (!silent.is_empty()).then_some(FailoverRecovery {
+        let unconfirmed = self.unconfirmed_kinds();
+        let recovery = (!unconfirmed.is_empty()).then_some(FailoverRecovery {
             term: self.ownership.term(),
-            granted: self.ownership.revision(),
-            silent,
+            granted_at: self.ownership.revision(),
+            unconfirmed,
         });
         // With fewer unconfirmed kinds of machines, more jobs may start, since none of their
         // tasks can be running on an unconfirmed machine.
@@ -89,8 +89,8 @@
     }
 
     /// Returns each kind of unconfirmed machine once.
-    fn unconfirmed_kinds(&self) -> Vec<SilentMachines> {
-        let mut kinds: Vec<SilentMachines> = Vec::new();
+    fn unconfirmed_kinds(&self) -> Vec<UnconfirmedMachineKind> {
+        let mut kinds: Vec<UnconfirmedMachineKind> = Vec::new();
         let unconfirmed = self.machines.values();
         for machine in unconfirmed.filter(|machine| machine.is_unconfirmed()) {
             let kind = kind_of(machine);
@@ -102,9 +102,9 @@
     }
 }
 
-fn kind_of(machine: &Machine) -> SilentMachines {
+fn kind_of(machine: &Machine) -> UnconfirmedMachineKind {
     let is_known = machine.spec.capacity != Resources::default();
-    SilentMachines {
+    UnconfirmedMachineKind {
         machine_type: machine.spec.machine_type.clone(),
         zone: machine.spec.zone.clone(),
         spot: machine.spec.spot,
--- a/src/partition_owner/scheduling.rs
+++ b/src/partition_owner/scheduling.rs
@@ -203,11 +203,11 @@
                 grace_period_s,
             } in &preemption.victims
             {
-                tracing::debug!(partition = %self.ownership.partition(), job = %key.task.job, task = %key.task, attempt = %key.attempt, machine = %preemption.machine, preempted_for = %preemption.reserve.job, "attempt preempted");
+                tracing::debug!(partition = %self.ownership.partition(), job = %key.task.job, task = %key.task, attempt = %key.attempt, machine = %preemption.machine, preempted_for = %preemption.reservation.job, "attempt preempted");
                 machine.stop(*grace_period_s, |other| other == key);
             }
             self.direct_commands.request(&preemption.machine);
-            machine.reservations.add(preemption.reserve);
+            machine.reservations.add(preemption.reservation);
         }
     }
 }
--- a/src/partition_owner/zone_evacuation.rs
+++ b/src/partition_owner/zone_evacuation.rs
@@ -62,13 +62,13 @@
         let Some(recovery) = self.failover.recovery() else {
             return;
         };
-        for kind in &recovery.silent {
+        for kind in &recovery.unconfirmed {
             if evacuation.situation.state(&kind.zone) == ZoneState::Healthy {
                 continue;
             }
             for (id, job) in &self.jobs {
                 let may_have_been_there = job
-                    .may_have_begun_before(recovery.term, recovery.granted)
+                    .may_have_begun_before(recovery.term, recovery.granted_at)
                     && job.may_have_been_on(&kind.machine_type, &kind.zone, kind.spot);
                 if may_have_been_there {
                     evacuation.displace(id, &kind.zone);
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -31,5 +31,5 @@
 pub use pass::{PassLimits, Placement, PlacementPass, run_pass};
 pub use preemption::{MachinePreemption, PreemptionPlan, Victim, plan_preemption};
 pub use queue::{QueuedJob, Queues, build_queues};
-pub use recovery::{FailoverRecovery, SilentMachines};
+pub use recovery::{FailoverRecovery, UnconfirmedMachineKind};
 pub use snapshot::SchedulingSnapshot;
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -33,7 +33,7 @@
     /// Attempts that are stopped.
     pub victims: Vec<Victim>,
     /// Reservation of capacity on the machine for the preempting job.
-    pub reserve: Reservation,
+    pub reservation: Reservation,
 }
 
 /// The result of planning preemptions.
@@ -336,7 +336,7 @@
         self.plan.preemptions.push(MachinePreemption {
             machine: plan.machine.clone(),
             victims: plan.victims,
-            reserve: Reservation {
+            reservation: Reservation {
                 job: id.clone(),
                 request,
                 count,
