--- a/src/mesh/messages.rs
+++ b/src/mesh/messages.rs
@@ -21,7 +21,10 @@
     pub term: Term,
     /// The missing capacity for the partition's pending tasks.
     pub capacity_requests: Vec<CapacityRequest>,
-    /// Idle machines that the owner offers for release.
+    /// Machines that the owner reports as faulty, so that the leader releases them to the cloud.
+    /// They are silent, or neither responses nor direct commands reach them, or they are idle and
+    /// must not be given tasks, for example because tasks failed on them. Idle machines that are
+    /// no longer needed are not listed here: the owner marks them as released in their records.
     pub releasable_machines: Vec<MachineId>,
 }
 
