--- a/src/api/read_index/tests.rs
+++ b/src/api/read_index/tests.rs
@@ -93,7 +93,7 @@
 fn one_read_answers_all_lookups_and_the_ended_record_is_cached() {
     let mut read_index = ReadIndex::default();
     let mut cache = WatchCache::default();
-    let record = crate::jobs::tests::rec("j-1", 4, Term(1));
+    let record = crate::jobs::tests::job_record("j-1", 4, Term(1));
     let change = |key: &str, value, revision| WatchEvent {
         set: Some(key.into()),
         delete: None,
--- a/src/api/tests/mod.rs
+++ b/src/api/tests/mod.rs
@@ -14,7 +14,7 @@
 use super::read_index::JobLookup;
 use crate::clock::{Micros, MonotonicClock};
 use crate::ids::{FencingToken, JobId, PartitionId, Revision, Term};
-use crate::jobs::tests::{body as job_body, types as machine_types};
+use crate::jobs::tests::{machine_types, submission_body};
 use crate::jobs::{EndedRecord, JobState};
 use crate::partitions::FormatLevel;
 use crate::settings::tests::settings;
@@ -126,7 +126,7 @@
 }
 
 fn live() -> JobLookup {
-    let record = crate::jobs::tests::rec("j-000412", 4, Term(1));
+    let record = crate::jobs::tests::job_record("j-000412", 4, Term(1));
     JobLookup::Live {
         revision: Revision(5),
         state: JobState::Running,
@@ -148,7 +148,9 @@
 
 async fn submit(view: ApiView, store: StoreReply, look_up: LookUp) -> UserAnswer {
     let context = user_context(view, store, look_up);
-    context.submit(job_body().to_string().as_bytes()).await
+    context
+        .submit(submission_body().to_string().as_bytes())
+        .await
 }
 
 /// Submits a job with these dependencies. Returns the HTTP status and the error text, which is
@@ -159,7 +161,7 @@
     store: StoreReply,
     look_up: LookUp,
 ) -> (u16, String) {
-    let mut body = job_body();
+    let mut body = submission_body();
     body["hinges"] = dependencies;
     let context = user_context(view, store, look_up);
     let answer = context.submit(body.to_string().as_bytes()).await;
--- a/src/api/tests/submissions.rs
+++ b/src/api/tests/submissions.rs
@@ -1,6 +1,6 @@
 use super::{
-    LookUp, StoreReply, ended, job_body, live, not_found, status, store_with_two_jobs, submit,
-    submit_with_dependencies, user_context, view,
+    LookUp, StoreReply, ended, live, not_found, status, store_with_two_jobs, submission_body,
+    submit, submit_with_dependencies, user_context, view,
 };
 use crate::api::channels::ApiView;
 use crate::api::read_index::JobLookup;
@@ -85,7 +85,9 @@
     context.channels.status_queries = status_queries;
     let sent_at = std::time::Instant::now();
 
-    let answer = context.submit(job_body().to_string().as_bytes()).await;
+    let answer = context
+        .submit(submission_body().to_string().as_bytes())
+        .await;
 
     assert_eq!(status(&answer).0, 503);
     let elapsed = sent_at.elapsed();
--- a/src/api/tests/wire_form.rs
+++ b/src/api/tests/wire_form.rs
@@ -3,8 +3,8 @@
 //! `error` may be reworded, together with its test.
 
 use super::{
-    LookUp, StoreReply, ended, job_body, live, no_commands, not_found, submit, user_context, view,
-    worker_context,
+    LookUp, StoreReply, ended, live, no_commands, not_found, submission_body, submit, user_context,
+    view, worker_context,
 };
 use crate::api::answers::{UserAnswer, WorkerAnswer};
 use crate::api::channels::{ApiView, HeartbeatAnswer, HeartbeatRequest};
@@ -86,7 +86,7 @@
     ] {
         assert_eq!(rendered(answer), reply(404, r#"{"error":"no such job"}"#));
     }
-    let mut other = job_body();
+    let mut other = submission_body();
     other["crew"] = json!("green");
     let answer = rendered(unknown.submit(other.to_string().as_bytes()).await);
     assert_eq!(answer, reply(422, r#"{"error":"unknown team green"}"#));
--- a/src/controller/tests/autoscaling.rs
+++ b/src/controller/tests/autoscaling.rs
@@ -3,7 +3,7 @@
 
 use super::simulation::{Simulation, secs};
 use crate::cloud::MachineType;
-use crate::jobs::tests::{desc, types};
+use crate::jobs::tests::{job_desc, machine_types};
 use crate::settings::tests::settings;
 use crate::store::keys;
 
@@ -14,7 +14,7 @@
     let simulation = Simulation::started(2, 1);
     let stored: Vec<MachineType> =
         serde_json::from_value(simulation.store.value(keys::TYPES).clone()).expect("types");
-    assert_eq!(stored, types());
+    assert_eq!(stored, machine_types());
     assert_eq!(settings().platform.initial_size, 2);
 }
 
@@ -25,7 +25,7 @@
     let mut simulation = Simulation::new(1, 0);
     simulation.cloud.has_capacity = true;
     simulation.advance(3.0);
-    simulation.submit(&desc("j-1", 8));
+    simulation.submit(&job_desc("j-1", 8));
     while simulation.workers.is_empty() {
         simulation.advance(0.1);
     }
--- a/src/controller/tests/cancellation.rs
+++ b/src/controller/tests/cancellation.rs
@@ -5,7 +5,7 @@
 use super::simulation::Simulation;
 use crate::controller::messages::Input;
 use crate::ids::Revision;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use crate::mesh::Message;
 
 /// The direct command that launches a task is delayed until the job has been cancelled. It must not
@@ -15,7 +15,7 @@
     let mut simulation = Simulation::started(1, 1);
     simulation.network.holds_commands = true;
     simulation.workers[0].is_isolated = true;
-    simulation.submit(&desc("j-1", 1));
+    simulation.submit(&job_desc("j-1", 1));
     simulation.advance(0.4);
     simulation.cancel("j-1");
     simulation.advance(1.0);
@@ -26,7 +26,7 @@
         simulation.deliver_command(&held);
     }
     assert_eq!(simulation.running_count(), 0);
-    simulation.submit(&desc("j-2", 1));
+    simulation.submit(&job_desc("j-2", 1));
     simulation.advance(4.0);
     assert_eq!(
         simulation.workers_running("j-2/0").len(),
@@ -40,7 +40,7 @@
 #[test]
 fn tasks_end_within_the_cancel_timeout_while_the_owner_is_cut_from_the_store() {
     let mut simulation = Simulation::started(2, 1);
-    simulation.submit(&desc("j-1", 1));
+    simulation.submit(&job_desc("j-1", 1));
     simulation.advance(3.0);
     let owner = simulation.owner();
     // The owner still reaches its worker, but not the store.
@@ -58,8 +58,8 @@
 /// `pause_s` seconds and send heartbeats otherwise.
 fn cancel_during_rejection_and_outage(pause_s: f64) {
     let mut simulation = Simulation::started(3, 3);
-    simulation.submit(&desc("j-1", 8));
-    let mut other_team = desc("j-2", 4);
+    simulation.submit(&job_desc("j-1", 8));
+    let mut other_team = job_desc("j-2", 4);
     other_team.team = "blue".into();
     simulation.submit(&other_team);
     simulation.advance(4.0);
@@ -113,7 +113,7 @@
 #[test]
 fn cancellation_reaches_an_owner_without_the_store_over_the_mesh() {
     let mut simulation = Simulation::started(3, 2);
-    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&job_desc("j-1", 4));
     simulation.advance(3.0);
     let owner = simulation.owner();
     simulation.controllers[owner].faults.is_rejected_by_store = true;
@@ -125,8 +125,8 @@
     simulation.controllers[owner].faults.is_rejected_by_store = false;
     let (job, revision) = ("j-2".into(), Revision(simulation.store.revision + 100));
     simulation.handle_input(owner, Input::Mesh(Message::Cancelled { job, revision }));
-    simulation.submit(&desc("j-2", 1));
-    simulation.submit(&desc("j-3", 1));
+    simulation.submit(&job_desc("j-2", 1));
+    simulation.submit(&job_desc("j-3", 1));
     simulation.advance(4.0);
     assert!(!simulation.has_started("j-2"));
     assert!(simulation.has_started("j-3"));
--- a/src/controller/tests/dependencies.rs
+++ b/src/controller/tests/dependencies.rs
@@ -6,14 +6,14 @@
 use super::simulation::Simulation;
 use crate::api::read_index::JobLookup;
 use crate::ids::{JobId, Revision};
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use crate::jobs::{JobDesc, JobState, Priority};
 use crate::mesh::Message;
 use crate::store::{Mutation, keys};
 
 /// Returns a job of two tasks that depends on the given jobs.
 fn dependent(id: &str, dependencies: &[&str]) -> JobDesc {
-    let mut job = desc(id, 2);
+    let mut job = job_desc(id, 2);
     job.dependencies = dependencies.iter().map(|id| JobId::from(*id)).collect();
     job
 }
@@ -50,8 +50,8 @@
 #[test]
 fn job_starts_only_after_its_dependencies_are_stored_as_done() {
     let mut simulation = Simulation::started(2, 2);
-    simulation.submit(&desc("j-1", 2));
-    simulation.submit(&desc("j-2", 2));
+    simulation.submit(&job_desc("j-1", 2));
+    simulation.submit(&job_desc("j-2", 2));
     simulation.submit(&dependent("j-3", &["j-1", "j-2"]));
     simulation.submit(&dependent("j-4", &["j-3"]));
     simulation.advance(3.0);
@@ -86,7 +86,7 @@
 #[test]
 fn failover_and_restart_of_all_controllers_start_no_dependent_early() {
     let mut simulation = Simulation::started(3, 2);
-    simulation.submit(&desc("j-1", 2));
+    simulation.submit(&job_desc("j-1", 2));
     simulation.submit(&dependent("j-2", &["j-1"]));
     simulation.submit(&dependent("j-3", &["j-2"]));
     simulation.advance(3.0);
@@ -112,12 +112,12 @@
 fn waiting_dependent_holds_no_capacity_and_its_wait_begins_when_it_is_ready() {
     let mut simulation = Simulation::started(1, 1);
     simulation.cloud.has_capacity = true;
-    simulation.submit(&desc("j-1", 2));
+    simulation.submit(&job_desc("j-1", 2));
     // The dependent needs more than the running machine has, is urgent, and is of the same team.
     let mut large = dependent("j-2", &["j-1"]);
     (large.tasks, large.cores, large.priority) = (4, 4.0, Priority::Production);
     simulation.submit(&large);
-    let mut small = desc("j-3", 6);
+    let mut small = job_desc("j-3", 6);
     (small.priority, small.deadline_s) = (Priority::Idle, None);
     simulation.advance(200.0);
     simulation.submit(&small);
@@ -144,13 +144,13 @@
 #[test]
 fn dependents_of_a_cancelled_job_are_cancelled_at_every_controller_at_once() {
     let mut simulation = Simulation::started(3, 2);
-    simulation.submit(&desc("j-1", 2));
+    simulation.submit(&job_desc("j-1", 2));
     simulation.submit(&dependent("j-2", &["j-1"]));
     simulation.submit(&dependent("j-3", &["j-1"]));
     let mut other_team = dependent("j-4", &["j-2", "j-3"]);
     other_team.team = "blue".into();
     simulation.submit(&other_team);
-    simulation.submit(&desc("j-5", 2));
+    simulation.submit(&job_desc("j-5", 2));
     simulation.advance(3.0);
     // No end of a dependent is stored, but every controller must report the cancellation.
     simulation.network.holds_owner_transactions = true;
@@ -195,7 +195,7 @@
 #[test]
 fn cancellation_that_the_store_does_not_confirm_cancels_no_dependent() {
     let mut simulation = Simulation::started(1, 1);
-    simulation.submit(&desc("j-1", 1));
+    simulation.submit(&job_desc("j-1", 1));
     simulation.submit(&dependent("j-2", &["j-1"]));
     simulation.advance(3.0);
     simulation.finish_all();
@@ -220,7 +220,7 @@
 #[test]
 fn outage_after_a_cancellation_leaves_no_dependent_uncancelled() {
     let mut simulation = Simulation::started(3, 2);
-    simulation.submit(&desc("j-1", 2));
+    simulation.submit(&job_desc("j-1", 2));
     simulation.submit(&dependent("j-2", &["j-1"]));
     simulation.submit(&dependent("j-3", &["j-2"]));
     simulation.advance(3.0);
@@ -243,7 +243,7 @@
     let mut simulation = Simulation::started(1, 1);
     // Both the team's limit and the machine have 16 cores.
     let idle = |id: &str| {
-        let mut job = desc(id, 8);
+        let mut job = job_desc(id, 8);
         (job.priority, job.deadline_s, job.cores) = (Priority::Idle, None, 2.0);
         job
     };
@@ -275,7 +275,7 @@
 #[test]
 fn end_recorded_by_an_earlier_version_satisfies_a_dependency() {
     let mut simulation = Simulation::started(1, 1);
-    simulation.submit(&desc("j-1", 1));
+    simulation.submit(&job_desc("j-1", 1));
     simulation.advance(2.0);
     simulation.finish_all();
     simulation.advance(2.0);
@@ -297,11 +297,11 @@
     let mut simulation = Simulation::builder(2, 3)
         .settings(|settings| settings["settings"]["teams"][0]["cpus_max"] = 1_000.0.into())
         .started();
-    simulation.submit(&desc("j-1", 1));
+    simulation.submit(&job_desc("j-1", 1));
     simulation.submit(&dependent("j-2", &["j-1"]));
     // The older job is accepted before the failover. Some of its tasks have not started for lack of
     // capacity.
-    let mut older = desc("j-3", 4);
+    let mut older = job_desc("j-3", 4);
     older.cores = 14.0;
     simulation.submit(&older);
     simulation.advance(3.0);
--- a/src/controller/tests/failing_jobs.rs
+++ b/src/controller/tests/failing_jobs.rs
@@ -3,20 +3,20 @@
 
 use super::simulation::{ExitCause, Simulation, secs};
 use crate::jobs::JobState;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 
 /// A machine whose tasks fail is quarantined. Failures that the job itself causes must not count
 /// against the machines.
 #[test]
 fn failing_job_quarantines_no_machine() {
     let mut simulation = Simulation::started(1, 2);
-    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&job_desc("j-1", 4));
     for _ in 0..20 {
         simulation.advance(1.0);
         simulation.exit_all_of("", ExitCause::Error);
     }
     assert!(simulation.cloud.released.is_empty());
-    simulation.submit(&desc("j-2", 2));
+    simulation.submit(&job_desc("j-2", 2));
     simulation.advance(4.0);
     assert_eq!(simulation.workers_running("j-2/0").len(), 1);
 }
@@ -28,7 +28,7 @@
     let mut simulation = Simulation::started(1, 4);
     simulation.task_duration = Some(secs(4.0));
     simulation.users.failing_jobs.insert("j-1".into());
-    simulation.submit(&desc("j-1", 8));
+    simulation.submit(&job_desc("j-1", 8));
     simulation.advance(25.0);
     assert!(
         simulation.cloud.released.is_empty(),
@@ -41,7 +41,7 @@
     simulation.cloud.is_unreachable = true;
     simulation.advance(8.0);
     for (id, team) in [("j-2", "red"), ("j-3", "blue")] {
-        let mut whole = desc(id, 1);
+        let mut whole = job_desc(id, 1);
         whole.cores = 16.0;
         whole.team = team.into();
         simulation.submit(&whole);
@@ -78,11 +78,11 @@
     simulation.task_duration = Some(secs(2.0));
     simulation.advance(6.0);
     simulation.users.failing_jobs.insert("j-1".into());
-    let mut array = desc("j-1", 32);
+    let mut array = job_desc("j-1", 32);
     array.cores = 0.5;
     simulation.submit(&array);
     // A healthy job runs at the same time and uses one machine alone.
-    let mut healthy = desc("j-2", 1_000);
+    let mut healthy = job_desc("j-2", 1_000);
     (healthy.cores, healthy.team) = (8.0, "blue".into());
     simulation.submit(&healthy);
     simulation.advance(15.0);
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -4,14 +4,14 @@
 use super::simulation::Simulation;
 use crate::ids::AttemptId;
 use crate::jobs::JobState;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 
 /// The next owner must adopt the running tasks of a crashed owner. It must not start them again,
 /// and must record their end.
 #[test]
 fn failover_adopts_running_tasks_and_starts_none_twice() {
     let mut simulation = Simulation::started(2, 2);
-    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&job_desc("j-1", 4));
     simulation.advance(3.0);
     assert_eq!(simulation.running_count(), 4);
     let previous_owner = simulation.crash_owner();
@@ -31,7 +31,7 @@
 #[test]
 fn after_failover_older_jobs_wait_for_silent_machines() {
     let mut simulation = Simulation::started(2, 2);
-    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&job_desc("j-1", 4));
     simulation.advance(3.0);
     let silent = simulation.workers_running("j-1/0")[0];
     simulation.workers[silent].is_isolated = true;
@@ -40,7 +40,7 @@
     // The previous owner's lease has expired, but not yet the worker's.
     simulation.advance(25.0);
     assert_ne!(simulation.owner(), previous_owner);
-    simulation.submit(&desc("j-2", 1));
+    simulation.submit(&job_desc("j-2", 1));
     simulation.advance(3.0);
     assert_eq!(
         simulation.workers_running("j-1/0"),
@@ -65,13 +65,13 @@
 #[test]
 fn attempt_numbers_never_repeat_after_failover() {
     let mut simulation = Simulation::started(2, 1);
-    simulation.submit(&desc("j-1", 1));
+    simulation.submit(&job_desc("j-1", 1));
     simulation.advance(3.0);
     let first = simulation.workers[0].tasks["j-1/0"].attempt;
     simulation.crash_owner();
     simulation.advance(25.0);
     simulation.finish_all();
-    simulation.submit(&desc("j-2", 1));
+    simulation.submit(&job_desc("j-2", 1));
     simulation.advance(4.0);
     let second = simulation.workers[0].tasks["j-2/0"].attempt;
     assert!(AttemptId(second) > AttemptId(first));
@@ -89,10 +89,10 @@
     simulation.workers[0].is_isolated = true;
     simulation.cloud.is_unreachable = true;
     simulation.crash_all_controllers();
-    let mut zone_bound = desc("j-1", 2);
+    let mut zone_bound = job_desc("j-1", 2);
     zone_bound.zone = Some("x".into());
     simulation.submit(&zone_bound);
-    simulation.submit(&desc("j-2", 2));
+    simulation.submit(&job_desc("j-2", 2));
     simulation.advance(1.0);
     simulation.start_all_controllers();
     simulation.advance(8.0);
@@ -118,7 +118,7 @@
 #[test]
 fn job_whose_tasks_end_around_a_failover_is_done_once() {
     let mut simulation = Simulation::started(3, 2);
-    simulation.submit(&desc("j-1", 3));
+    simulation.submit(&job_desc("j-1", 3));
     simulation.advance(3.0);
     simulation.finish("j-1/0");
     simulation.advance(4.0);
--- a/src/controller/tests/fault_pairs/history.rs
+++ b/src/controller/tests/fault_pairs/history.rs
@@ -9,7 +9,7 @@
 use crate::clock::Micros;
 use crate::controller::tests::simulation::{LookupAnswer, Simulation, secs};
 use crate::ids::JobId;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use crate::jobs::{JobDesc, JobState};
 use crate::store::keys;
 use crate::subsystems::Subsystems;
@@ -116,7 +116,7 @@
     }
 
     fn draw_job(&mut self) -> JobDesc {
-        let mut job = desc(&format!("j-{}", 100 + self.jobs.len()), 1);
+        let mut job = job_desc(&format!("j-{}", 100 + self.jobs.len()), 1);
         job.tasks = *[1, 2, 3, 5]
             .choose(&mut self.rng)
             .expect("at least one value");
--- a/src/controller/tests/fencing.rs
+++ b/src/controller/tests/fencing.rs
@@ -3,7 +3,7 @@
 
 use super::simulation::Simulation;
 use crate::jobs::JobState;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 
 /// A direct command that launches a task is delayed until the task has ended. It must not start the
 /// task again.
@@ -11,7 +11,7 @@
 fn delayed_direct_command_is_fenced() {
     let mut simulation = Simulation::started(1, 1);
     simulation.network.holds_commands = true;
-    simulation.submit(&desc("j-1", 1));
+    simulation.submit(&job_desc("j-1", 1));
     simulation.advance(3.0);
     assert_eq!(
         simulation.network.held_commands.len(),
@@ -47,7 +47,7 @@
     for worker in &mut simulation.workers {
         worker.heartbeat_sequence += 1_000;
     }
-    simulation.submit(&desc("j-1", 1));
+    simulation.submit(&job_desc("j-1", 1));
     simulation.advance(3.0);
     let worker = simulation.workers_running("j-1/0")[0];
     (simulation, worker)
@@ -60,7 +60,7 @@
     let (mut simulation, worker) = start_with_high_heartbeat_sequence();
     // The launch of j-2 is held back.
     simulation.network.holds_commands = true;
-    simulation.submit(&desc("j-2", 1));
+    simulation.submit(&job_desc("j-2", 1));
     simulation.advance(0.2);
     assert_eq!(simulation.network.held_commands.len(), 1);
     simulation.network.holds_commands = false;
--- a/src/controller/tests/formats.rs
+++ b/src/controller/tests/formats.rs
@@ -7,7 +7,7 @@
 use super::simulation::{Simulation, secs};
 use crate::cloud::{MachineType, ScaleOutRecord};
 use crate::ids::{JobId, Label, LeaseId, Revision, Term};
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use crate::jobs::{EndedRecord, JobRecord, JobState, ProgressRecord, tasks_per_page};
 use crate::mesh::{self, Message};
 use crate::partitions::{
@@ -180,11 +180,11 @@
     simulation.advance(15.0);
     join_as_earlier_version(&mut simulation, "c1");
     simulation.advance(5.0);
-    simulation.submit(&desc("j-1", 2));
+    simulation.submit(&job_desc("j-1", 2));
     simulation.advance(3.0);
     simulation.finish_all();
     simulation.advance(3.0);
-    simulation.submit(&desc("j-2", 2));
+    simulation.submit(&job_desc("j-2", 2));
     simulation.advance(8.0);
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
     assert!(!simulation.store.keys.contains_key(keys::FORMAT));
--- a/src/controller/tests/heartbeats.rs
+++ b/src/controller/tests/heartbeats.rs
@@ -4,7 +4,7 @@
 use crate::api::channels::HeartbeatAnswer;
 use crate::ids::{FencingToken, MachineId};
 use crate::jobs::JobState;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 
 /// A controller that is not the owner must redirect a worker to the owner. If it answered the
 /// heartbeat itself, the worker would renew its lease while the owner counts it as silent.
@@ -35,7 +35,7 @@
 fn late_heartbeat_copies_change_nothing() {
     let mut simulation = Simulation::started(2, 2);
     let without_tasks = simulation.workers[0].heartbeat();
-    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&job_desc("j-1", 4));
     simulation.advance(3.0);
     let worker = simulation.workers_running("j-1/0")[0];
     let owner = simulation.owner();
@@ -52,7 +52,7 @@
     simulation.advance(5.0);
     assert_eq!(simulation.running_count(), 0);
     // These copies arrive later than a worker lease: they do not show that the worker is alive.
-    simulation.submit(&desc("j-2", 4));
+    simulation.submit(&job_desc("j-2", 4));
     simulation.advance(3.0);
     let silent = simulation.workers_running("j-2/0")[0];
     simulation.workers[silent].is_isolated = true;
@@ -79,7 +79,7 @@
 #[test]
 fn late_heartbeat_copy_after_failover_confirms_nothing() {
     let mut simulation = Simulation::started(2, 2);
-    simulation.submit(&desc("j-0", 1));
+    simulation.submit(&job_desc("j-0", 1));
     simulation.advance(3.0);
     let worker = simulation.workers_running("j-0/0")[0];
     // According to these copies, the machines run no task but that of j-0.
@@ -87,7 +87,7 @@
         simulation.workers[0].heartbeat(),
         simulation.workers[1].heartbeat(),
     ];
-    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&job_desc("j-1", 4));
     simulation.advance(3.0);
     assert_eq!(simulation.workers_running("j-1/0").len(), 1);
     let previous_owner = simulation.owner();
@@ -119,7 +119,7 @@
 #[test]
 fn late_heartbeat_of_a_released_machine_records_no_machine() {
     let mut simulation = Simulation::started(1, 3);
-    simulation.submit(&desc("j-1", 1));
+    simulation.submit(&job_desc("j-1", 1));
     simulation.advance(3.0);
     let silent = simulation.workers_running("j-1/0")[0];
     let copy = simulation.workers[silent].heartbeat();
--- a/src/controller/tests/isolation.rs
+++ b/src/controller/tests/isolation.rs
@@ -6,14 +6,14 @@
 
 use super::simulation::{Simulation, secs};
 use crate::jobs::JobState;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 
 /// A task must not start on a second machine before the cloud has released the first one, because
 /// it may still be running there.
 #[test]
 fn tasks_of_a_lost_machine_restart_once_the_cloud_has_released_it() {
     let mut simulation = Simulation::started(1, 3);
-    simulation.submit(&desc("j-1", 1));
+    simulation.submit(&job_desc("j-1", 1));
     simulation.advance(3.0);
     let isolated = simulation.workers_running("j-1/0")[0];
     simulation.workers[isolated].is_isolated = true;
@@ -34,12 +34,12 @@
 #[test]
 fn unreachable_machine_gets_no_work_and_is_replaced() {
     let mut simulation = Simulation::started(1, 2);
-    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&job_desc("j-1", 4));
     simulation.advance(3.0);
     let unreachable = simulation.workers_running("j-1/0")[0];
     simulation.workers[unreachable].is_unreachable = true;
     // Bin packing would prefer the unreachable machine, because it has less free capacity.
-    simulation.submit(&desc("j-2", 2));
+    simulation.submit(&job_desc("j-2", 2));
     simulation.advance(15.0);
     assert_eq!(
         simulation.workers_running("j-2/0"),
@@ -67,8 +67,8 @@
 fn unreachable_machine_that_cant_be_released_ends_its_tasks_by_lease_expiry() {
     let mut simulation = Simulation::started(1, 2);
     simulation.cloud.is_unreachable = true;
-    simulation.submit(&desc("j-1", 4));
-    simulation.submit(&desc("j-2", 2));
+    simulation.submit(&job_desc("j-1", 4));
+    simulation.submit(&job_desc("j-2", 2));
     simulation.advance(3.0);
     let unreachable = simulation.workers_running("j-1/0")[0];
     simulation.workers[unreachable].is_unreachable = true;
@@ -79,7 +79,7 @@
         "the task may still run on the unreachable machine"
     );
     simulation.cancel("j-2");
-    simulation.submit(&desc("j-3", 8));
+    simulation.submit(&job_desc("j-3", 8));
     // The worker's lease expires, and its next heartbeat reports that by a new agent epoch.
     simulation.advance(simulation.cancel_timeout_s() - 12.0);
     assert!(
@@ -95,14 +95,14 @@
 #[test]
 fn machine_known_by_direct_commands_alone_stays_valid_in_its_next_agent_epoch() {
     let mut simulation = Simulation::started(1, 2);
-    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&job_desc("j-1", 4));
     simulation.advance(3.0);
     let silent = simulation.workers_running("j-1/0")[0];
     simulation.workers[silent].loses_heartbeats = true;
     // If the cloud could release the machine, it would be replaced after its first agent epoch.
     simulation.cloud.is_unreachable = true;
     // The other machine has no free capacity, so no task can move.
-    simulation.submit(&desc("j-2", 8));
+    simulation.submit(&job_desc("j-2", 8));
     simulation.advance(3.0);
     let lease_s = simulation.worker_lease_s();
     // The next agent epoch begins. No task may run on both machines.
@@ -119,7 +119,7 @@
 fn machine_without_heartbeats_gets_no_work_and_is_replaced_once_idle() {
     let mut simulation = Simulation::started(1, 3);
     simulation.task_duration = Some(secs(4.0));
-    simulation.submit(&desc("j-1", 2));
+    simulation.submit(&job_desc("j-1", 2));
     simulation.advance(3.0);
     let silent = simulation.workers_running("j-1/0")[0];
     simulation.workers[silent].loses_heartbeats = true;
@@ -141,7 +141,7 @@
         {
             simulation.advance(0.1);
         }
-        simulation.submit(&desc(&format!("j-{number}"), 1));
+        simulation.submit(&job_desc(&format!("j-{number}"), 1));
         simulation.advance(0.5);
         assert_eq!(simulation.workers[silent].running_tasks("").count(), 0);
     }
@@ -158,7 +158,7 @@
 #[test]
 fn machine_without_heartbeats_keeps_its_tasks_until_lease_expiry_and_is_replaced() {
     let mut simulation = Simulation::started(1, 3);
-    simulation.submit(&desc("j-1", 2));
+    simulation.submit(&job_desc("j-1", 2));
     simulation.advance(3.0);
     let silent = simulation.workers_running("j-1/0")[0];
     simulation.workers[silent].loses_heartbeats = true;
@@ -183,7 +183,7 @@
     for worker in &mut simulation.workers[..2] {
         worker.zone = "y";
     }
-    let mut single_zone = desc("j-1", 4);
+    let mut single_zone = job_desc("j-1", 4);
     single_zone.single_zone = true;
     simulation.submit(&single_zone);
     simulation.advance(3.0);
--- a/src/controller/tests/job_lifecycle.rs
+++ b/src/controller/tests/job_lifecycle.rs
@@ -3,7 +3,7 @@
 
 use super::simulation::Simulation;
 use crate::jobs::JobState;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use crate::store::Reply;
 
 /// A worker forgets a reaped task. If the owner had a task reaped before its end is stored and then
@@ -11,7 +11,7 @@
 #[test]
 fn ended_tasks_are_reaped_only_after_the_end_is_stored() {
     let mut simulation = Simulation::started(2, 1);
-    simulation.submit(&desc("j-1", 3));
+    simulation.submit(&job_desc("j-1", 3));
     simulation.advance(3.0);
     assert_eq!(simulation.running_count(), 3);
     simulation.network.holds_owner_transactions = true;
@@ -36,7 +36,7 @@
 #[test]
 fn delayed_transaction_conflicts_and_the_job_stays_done() {
     let mut simulation = Simulation::started(1, 1);
-    simulation.submit(&desc("j-1", 2));
+    simulation.submit(&job_desc("j-1", 2));
     simulation.advance(3.0);
     simulation.network.holds_owner_transactions = true;
     simulation.finish_all();
@@ -62,7 +62,7 @@
 fn repeated_transaction_changes_nothing() {
     let mut simulation = Simulation::started(1, 1);
     simulation.network.holds_owner_transactions = true;
-    simulation.submit(&desc("j-1", 1));
+    simulation.submit(&job_desc("j-1", 1));
     simulation.advance(2.0);
     simulation.finish_all();
     simulation.advance(2.0);
@@ -91,7 +91,7 @@
 #[test]
 fn delayed_progress_page_undoes_nothing() {
     let mut simulation = Simulation::started(2, 2);
-    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&job_desc("j-1", 4));
     simulation.advance(3.0);
     let owner = simulation.owner();
     simulation.controllers[owner].faults.has_delayed_writes = true;
--- a/src/controller/tests/leases.rs
+++ b/src/controller/tests/leases.rs
@@ -3,7 +3,7 @@
 
 use super::simulation::Simulation;
 use crate::api::channels::HeartbeatAnswer;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 
 /// An owner cannot renew its lease during an outage of the store. It must answer heartbeats until
 /// the lease expires, and none afterwards.
@@ -25,7 +25,7 @@
     // After the outage the owner continues with the same lease or with a new one.
     simulation.store.is_down = false;
     simulation.advance(5.0);
-    simulation.submit(&desc("j-1", 1));
+    simulation.submit(&job_desc("j-1", 1));
     simulation.advance(4.0);
     assert_eq!(simulation.running_count(), 1);
 }
@@ -36,7 +36,7 @@
 #[test]
 fn controller_isolated_with_its_workers_steps_down_in_time_and_recovers() {
     let mut simulation = Simulation::started(3, 2);
-    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&job_desc("j-1", 4));
     simulation.advance(3.0);
     let isolated = simulation.owner();
     assert!(simulation.controllers[isolated].view.healthy);
@@ -67,7 +67,7 @@
     simulation.advance(3.0);
     assert!(simulation.controllers[isolated].view.healthy);
     simulation.crash_controller(owner);
-    simulation.submit(&desc("j-2", 2));
+    simulation.submit(&job_desc("j-2", 2));
     simulation.advance(30.0);
     assert_eq!(
         simulation.workers_running("j-2/0").len(),
--- a/src/controller/tests/loopback/mod.rs
+++ b/src/controller/tests/loopback/mod.rs
@@ -12,7 +12,7 @@
 use super::simulation::ZONES;
 use crate::clock::Micros;
 use crate::http_client::{ConnectionPool, HttpRequest};
-use crate::jobs::tests::{body as job_body, types};
+use crate::jobs::tests::{machine_types, submission_body};
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::settings::tests::example;
@@ -133,7 +133,7 @@
 impl Cluster {
     /// Starts two controllers and twelve workers. The workers of zone x are added last.
     async fn start() -> Cluster {
-        let mut machine_types = types();
+        let mut machine_types = machine_types();
         machine_types.truncate(1);
         machine_types[0].zones = ZONES.map(String::from).to_vec();
         let environment = SharedEnvironment::new(Environment::new(machine_types, WORKER_LEASE));
@@ -186,7 +186,7 @@
     }
 
     async fn submit(&self, id: &str, priority: &str, tasks: usize) {
-        let mut job = job_body();
+        let mut job = submission_body();
         (job["id"], job["rank"], job["hands"]) = (id.into(), priority.into(), tasks.into());
         (job["dueS"], job["deck"]) = (Value::Null, "img".into());
         loop {
--- a/src/controller/tests/partition_ownership.rs
+++ b/src/controller/tests/partition_ownership.rs
@@ -1,10 +1,10 @@
-//! Ownership of partitions: an owner releases a partition, the leader grants it to a member, and
+//! Ownership of partitions: an owner hands a partition back, the leader grants it to a member, and
 //! each machine is recorded in exactly one partition.
 
 use super::simulation::{HeldTransaction, Simulation};
 use crate::api::channels::HeartbeatAnswer;
 use crate::ids::MachineId;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use crate::partitions::ShardRecord;
 use std::collections::BTreeMap;
 
@@ -12,9 +12,9 @@
 const OWNER_KEY: &str = "r/blocks/0/holder";
 
 /// An owner that reaches neither its workers nor its peers cannot serve its partition. It must
-/// release the partition, and the leader must grant it to another controller.
+/// hand the partition back, and the leader must grant it to another controller.
 #[test]
-fn owner_without_machines_and_peers_releases_its_partition() {
+fn owner_without_machines_and_peers_hands_back_its_partition() {
     let mut simulation = Simulation::started(3, 3);
     let previous_owner = simulation.owner();
     // No controller reaches a peer, but the other controllers reach the workers.
@@ -30,7 +30,7 @@
         previous_owner,
         "the partition is not granted to the same controller again"
     );
-    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&job_desc("j-1", 4));
     simulation.advance(12.0);
     assert_eq!(simulation.running_count(), 4);
 }
@@ -70,14 +70,14 @@
     assert_ne!(first, second);
 }
 
-/// An owner gets no answer to the release of its partition, and then loses its watch, so it does
-/// not learn of the next grant. It must answer no heartbeat after the release: the next owner
+/// An owner gets no answer to the hand-back of its partition, and then loses its watch, so it does
+/// not learn of the next grant. It must answer no heartbeat after the hand-back: the next owner
 /// counts the leases of silent workers from its own grant, and an answer would renew a lease after
 /// that.
 #[test]
-fn owner_that_released_its_partition_answers_no_heartbeat() {
+fn owner_that_handed_back_its_partition_answers_no_heartbeat() {
     let mut simulation = Simulation::started(3, 2);
-    simulation.submit(&desc("j-1", 8));
+    simulation.submit(&job_desc("j-1", 8));
     simulation.advance(3.0);
     let previous_owner = simulation.owner();
     simulation.controllers[previous_owner]
@@ -86,7 +86,7 @@
     simulation.controllers[previous_owner]
         .faults
         .loses_write_answers = true;
-    // The owner receives no heartbeat, so it releases the partition. The write is committed, but
+    // The owner receives no heartbeat, so it hands the partition back. The write is committed, but
     // the owner does not receive the answer.
     let owner = |simulation: &Simulation| simulation.store.value(OWNER_KEY)["holder"].clone();
     let recorded_owner = owner(&simulation);
@@ -114,12 +114,12 @@
     assert_eq!(simulation.running_count(), 8);
 }
 
-/// The store rejects the release of a partition. The owner still owns it and must go on answering
+/// The store rejects the hand-back of a partition. The owner still owns it and must go on answering
 /// heartbeats.
 #[test]
-fn rejected_release_of_a_partition_changes_nothing() {
+fn rejected_hand_back_of_a_partition_changes_nothing() {
     let mut simulation = Simulation::started(3, 2);
-    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&job_desc("j-1", 4));
     simulation.advance(3.0);
     let owner = simulation.owner();
     simulation.controllers[owner].faults.is_cut_from_workers = true;
@@ -175,7 +175,7 @@
     // A job of the other partition's team lacks capacity, so the leader adds the new machines
     // there.
     let is_first_partition = format!("{delayed:?}").contains("r/blocks/0/machines");
-    let mut job = desc("j-1", 40);
+    let mut job = job_desc("j-1", 40);
     job.team = ["red", "blue"][usize::from(is_first_partition)].into();
     simulation.submit_to(&job, u64::from(is_first_partition));
     simulation.advance(3.0);
--- a/src/controller/tests/process_pauses.rs
+++ b/src/controller/tests/process_pauses.rs
@@ -7,7 +7,7 @@
 use super::simulation::{Simulation, secs};
 use crate::api::channels::HeartbeatAnswer;
 use crate::controller::messages::Input;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 
 /// An owner is paused for less than its lease. When it resumes, it must release no machine for
 /// heartbeats that were due during the pause. It must also start no task on a machine that has sent
@@ -15,12 +15,12 @@
 #[test]
 fn after_a_pause_the_owner_releases_nothing_and_starts_nothing_on_unconfirmed_machines() {
     let mut simulation = Simulation::started(2, 4);
-    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&job_desc("j-1", 4));
     simulation.advance(4.0);
     let owner = simulation.owner();
     simulation.controllers[owner].faults.is_paused = true;
     simulation.advance(14.0);
-    simulation.submit(&desc("j-2", 4));
+    simulation.submit(&job_desc("j-2", 4));
     simulation.controllers[owner].faults.is_paused = false;
     // The owner handles the store's changes and the ticks that were due during the pause.
     simulation.deliver_watch_events(owner);
@@ -51,13 +51,13 @@
 #[test]
 fn owner_paused_beyond_its_lease_answers_and_commands_no_worker() {
     let mut simulation = Simulation::started(2, 2);
-    simulation.submit(&desc("j-1", 2));
+    simulation.submit(&job_desc("j-1", 2));
     simulation.advance(4.0);
     let previous_owner = simulation.owner();
     simulation.controllers[previous_owner].faults.is_paused = true;
     simulation.advance(45.0);
     assert_ne!(simulation.owner(), previous_owner);
-    simulation.submit(&desc("j-2", 2));
+    simulation.submit(&job_desc("j-2", 2));
     simulation.controllers[previous_owner].faults.is_paused = false;
     // The previous owner's clock has advanced, but its watch has not received any change yet.
     let answer = simulation.deliver_heartbeat_of(0, previous_owner);
--- a/src/controller/tests/quotas.rs
+++ b/src/controller/tests/quotas.rs
@@ -3,7 +3,7 @@
 
 use super::simulation::{Simulation, secs};
 use crate::jobs::JobState;
-use crate::jobs::tests::{desc, types};
+use crate::jobs::tests::{job_desc, machine_types};
 
 /// After a failover the new owner does not know which tasks a silent machine runs. It must assume
 /// that the machine uses up the team's limit, or the team would exceed it.
@@ -11,7 +11,7 @@
 fn silent_machine_counts_against_the_team_limit() {
     let mut simulation = Simulation::started(2, 3);
     // The limit is 16 cores, and 8 tasks of 2 cores use it up.
-    simulation.submit(&desc("j-1", 8));
+    simulation.submit(&job_desc("j-1", 8));
     simulation.advance(3.0);
     assert_eq!(simulation.running_count(), 8);
     for worker in simulation.workers_running("j-1/0") {
@@ -20,7 +20,7 @@
     simulation.cloud.is_unreachable = true;
     simulation.crash_owner();
     simulation.advance(25.0);
-    simulation.submit(&desc("j-2", 8));
+    simulation.submit(&job_desc("j-2", 8));
     simulation.advance(3.0);
     assert!(
         simulation.running_count() <= 8,
@@ -34,10 +34,10 @@
 #[test]
 fn anti_affinity_and_team_limits_hold_for_every_task() {
     let mut simulation = Simulation::started(1, 3);
-    let mut single_zone = desc("j-1", 100);
+    let mut single_zone = job_desc("j-1", 100);
     single_zone.single_zone = true;
     simulation.submit(&single_zone);
-    let mut anti_affinity = desc("j-2", 5);
+    let mut anti_affinity = job_desc("j-2", 5);
     anti_affinity.anti_affinity = true;
     anti_affinity.team = "blue".into();
     simulation.submit(&anti_affinity);
@@ -68,12 +68,12 @@
     let mut simulation = Simulation::builder(1, 3).guest_team().build();
     simulation.task_duration = Some(secs(4.0));
     simulation.advance(6.0);
-    let mut array = desc("j-1", 400);
+    let mut array = job_desc("j-1", 400);
     array.team = "guests".into();
     array.cores = 0.25;
     array.memory_gb = 0.5;
     let settings = &simulation.controllers[0].settings;
-    assert_eq!(array.admissible(settings, &types()), Ok(()));
+    assert_eq!(array.admissible(settings, &machine_types()), Ok(()));
     simulation.submit(&array);
     simulation.advance(2.0);
     assert_eq!(
@@ -82,7 +82,7 @@
         "the tasks use the whole capacity, four tasks on each core"
     );
     // Freed capacity goes first to a team that is below its guaranteed quota.
-    simulation.submit(&desc("j-2", 4));
+    simulation.submit(&job_desc("j-2", 4));
     simulation.advance(6.0);
     assert_eq!(
         simulation.workers_running("j-2/0").len()
@@ -99,7 +99,7 @@
 #[test]
 fn tasks_of_a_cancelled_job_count_against_its_team_limit_after_failover() {
     let mut simulation = Simulation::started(2, 3);
-    simulation.submit(&desc("j-1", 8));
+    simulation.submit(&job_desc("j-1", 8));
     simulation.advance(3.0);
     let worker = simulation.workers_running("j-1/0")[0];
     assert_eq!(
@@ -116,8 +116,8 @@
         simulation.advance(0.1);
     }
     simulation.workers[worker].is_unreachable = true;
-    simulation.submit(&desc("j-2", 8));
-    let mut other_team = desc("j-3", 8);
+    simulation.submit(&job_desc("j-2", 8));
+    let mut other_team = job_desc("j-3", 8);
     other_team.team = "blue".into();
     simulation.submit(&other_team);
     simulation.advance(12.0);
@@ -144,7 +144,7 @@
 #[test]
 fn cancelled_job_without_footprint_counts_as_the_worst_case() {
     let mut simulation = Simulation::started(2, 3);
-    simulation.submit(&desc("j-1", 8));
+    simulation.submit(&job_desc("j-1", 8));
     simulation.advance(3.0);
     let worker = simulation.workers_running("j-1/0")[0];
     simulation.cloud.is_unreachable = true;
@@ -165,7 +165,7 @@
         simulation.advance(0.1);
     }
     simulation.workers[worker].is_unreachable = true;
-    simulation.submit(&desc("j-2", 8));
+    simulation.submit(&job_desc("j-2", 8));
     simulation.advance(12.0);
     assert!(simulation.workers[worker].running_tasks("j-1/").count() > 0);
     let lease_s = simulation.worker_lease_s();
@@ -178,8 +178,8 @@
 #[test]
 fn team_limit_holds_in_a_failover_with_a_cancellation() {
     let mut simulation = Simulation::started(2, 4);
-    simulation.submit(&desc("j-1", 4));
-    simulation.submit(&desc("j-2", 4));
+    simulation.submit(&job_desc("j-1", 4));
+    simulation.submit(&job_desc("j-2", 4));
     simulation.advance(3.0);
     assert_eq!(
         simulation.running_count(),
@@ -193,7 +193,7 @@
     simulation.crash_owner();
     simulation.advance(21.0);
     simulation.cancel("j-1");
-    simulation.submit(&desc("j-3", 8));
+    simulation.submit(&job_desc("j-3", 8));
     simulation.advance(50.0);
     simulation.set_workers_isolated(false);
     simulation.advance(12.0);
--- a/src/controller/tests/restarts.rs
+++ b/src/controller/tests/restarts.rs
@@ -3,7 +3,7 @@
 use super::simulation::{Simulation, secs};
 use crate::api::channels::HeartbeatAnswer;
 use crate::jobs::JobState;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use crate::store::{Reply, keys};
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 #[test]
 fn restart_of_all_controllers_adopts_running_tasks() {
     let mut simulation = Simulation::started(3, 2);
-    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&job_desc("j-1", 4));
     simulation.advance(3.0);
     let last_term = |simulation: &Simulation| simulation.store.value(keys::TERM)["last"].as_u64();
     let first = last_term(&simulation);
@@ -36,7 +36,7 @@
 #[test]
 fn rapid_controller_restarts_leave_no_stale_records() {
     let mut simulation = Simulation::started(3, 2);
-    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&job_desc("j-1", 4));
     simulation.advance(3.0);
     let attempts = |simulation: &Simulation| -> Vec<u64> {
         let tasks = simulation
@@ -70,7 +70,7 @@
     }
     simulation.advance(12.0);
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
-    simulation.submit(&desc("j-2", 4));
+    simulation.submit(&job_desc("j-2", 4));
     simulation.advance(4.0);
     assert_eq!(simulation.running_count(), 4);
     assert!(
@@ -98,7 +98,7 @@
 #[test]
 fn all_controllers_down_for_longer_than_a_worker_lease_run_jobs_again() {
     let mut simulation = Simulation::started(3, 3);
-    simulation.submit(&desc("j-1", 8));
+    simulation.submit(&job_desc("j-1", 8));
     simulation.advance(3.0);
     let copies: Vec<_> = simulation
         .workers
@@ -142,7 +142,7 @@
         assert_eq!(*first_owner, owner, "term {term}");
         let id = format!("j-{round}");
         if !simulation.store.is_down {
-            simulation.submit(&desc(&id, 3));
+            simulation.submit(&job_desc(&id, 3));
         }
         let leader = simulation.leader().unwrap_or(round % 3);
         simulation.crash_controller(leader);
--- a/src/controller/tests/scale.rs
+++ b/src/controller/tests/scale.rs
@@ -4,7 +4,7 @@
 //! classes of tasks.
 
 use super::simulation::{Simulation, TaskAttempt, secs};
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use crate::jobs::{JobState, Priority, tasks_per_page};
 use serde_json::Value;
 
@@ -58,7 +58,7 @@
     assert_eq!(all.len(), 2_100, "each machine is recorded once");
     assert!(all.iter().all(|machine| machine.is_used));
     // The job has more tasks than a progress page covers, and all of them start at the same time.
-    simulation.submit(&desc("j-1", 16_000));
+    simulation.submit(&job_desc("j-1", 16_000));
     simulation.advance(20.0);
     assert_eq!(simulation.running_count(), 16_000);
     let earlier = simulation.store.mutation_count;
@@ -78,7 +78,7 @@
     simulation.advance(6.0);
     let page = tasks_per_page(simulation.controllers[0].settings.platform.state.value_kb);
     let pages = 6;
-    let mut array = desc("j-1", pages * page);
+    let mut array = job_desc("j-1", pages * page);
     (array.cores, array.memory_gb) = (0.003, 0.01);
     simulation.submit(&array);
     simulation.advance(10.0);
@@ -116,7 +116,7 @@
     let earlier = simulation.store.mutation_count;
     let jobs = 100;
     for number in 0..jobs {
-        let mut small = desc(&format!("j-{number}"), 1);
+        let mut small = job_desc(&format!("j-{number}"), 1);
         (small.cores, small.memory_gb) = (0.1, 0.1);
         simulation.submit(&small);
         simulation.advance(0.2);
@@ -145,12 +145,12 @@
     let comparisons = |priority: Priority| {
         let mut simulation = Simulation::builder(1, 4).guest_team().started();
         for (id, team) in [("j-1", "red"), ("j-2", "blue")] {
-            let mut all = desc(id, 100);
+            let mut all = job_desc(id, 100);
             (all.team, all.deadline_s) = (team.into(), None);
             simulation.submit(&all);
         }
         simulation.advance(3.0);
-        let mut late = desc("j-3", 100);
+        let mut late = job_desc("j-3", 100);
         (late.team, late.priority, late.deadline_s) = ("guests".into(), priority, None);
         simulation.submit(&late);
         simulation.advance(15.0);
@@ -176,11 +176,11 @@
         let mut simulation = Simulation::builder(1, machines)
             .team_limits(100_000.0)
             .started();
-        simulation.submit(&desc("j-1", 8 * machines as u32));
+        simulation.submit(&job_desc("j-1", 8 * machines as u32));
         simulation.advance(4.0);
         // All capacity is used, so these jobs of one class wait.
         for number in 0..backlog {
-            simulation.submit(&desc(&format!("j-{}", 100 + number), 4));
+            simulation.submit(&job_desc(&format!("j-{}", 100 + number), 4));
         }
         simulation.advance(2.0);
         let before = simulation.machines_compared();
@@ -216,7 +216,7 @@
     // One task fills a machine. Two teams share the machines, because the quota limit of one team
     // is lower.
     for (id, team) in [("j-1", "red"), ("j-2", "blue")] {
-        let mut job = desc(id, machines as u32 / 2);
+        let mut job = job_desc(id, machines as u32 / 2);
         (job.cores, job.team) = (16.0, team.into());
         simulation.submit(&job);
     }
@@ -248,7 +248,7 @@
 #[test]
 fn a_hundred_machines_isolated_during_a_failover_keep_their_tasks() {
     let mut simulation = cluster_for_hundreds(3, 300);
-    simulation.submit(&desc("j-1", 1_200));
+    simulation.submit(&job_desc("j-1", 1_200));
     simulation.advance(6.0);
     assert_eq!(simulation.running_count(), 1_200);
     // The cloud can release no machine, and the worker leases are valid: each task must stay.
@@ -259,7 +259,7 @@
     let before = simulation.crash_owner();
     simulation.advance(24.0);
     assert_ne!(simulation.owner(), before);
-    simulation.submit(&desc("j-2", 100));
+    simulation.submit(&job_desc("j-2", 100));
     simulation.advance(2.0);
     for worker in simulation.workers.iter_mut().take(100) {
         worker.is_isolated = false;
@@ -283,7 +283,7 @@
 #[test]
 fn after_two_restarts_of_all_controllers_in_outages_jobs_start_within_seconds() {
     let mut simulation = cluster_for_hundreds(5, 100);
-    simulation.submit(&desc("j-1", 100));
+    simulation.submit(&job_desc("j-1", 100));
     simulation.advance(4.0);
     for round in 0..2 {
         simulation.store.is_down = true;
@@ -295,7 +295,7 @@
         // The next incarnation of a controller revokes the lease of the previous one, whose time to
         // live the outage has renewed.
         simulation.advance(3.0);
-        simulation.submit(&desc(&format!("j-{}", 10 + round), 50));
+        simulation.submit(&job_desc(&format!("j-{}", 10 + round), 50));
         simulation.advance(4.0);
         assert_eq!(simulation.running_count(), 100 + 50 * (round + 1));
     }
--- a/src/controller/tests/simulation/builder.rs
+++ b/src/controller/tests/simulation/builder.rs
@@ -8,7 +8,7 @@
 use super::users::SimulatedUsers;
 use super::worker::SimulatedWorker;
 use super::{Simulation, secs};
-use crate::jobs::tests::types;
+use crate::jobs::tests::machine_types;
 use crate::settings::Settings;
 use crate::settings::tests::example;
 use serde_json::{Value, json};
@@ -90,7 +90,7 @@
             store: SimulatedKvStore::default(),
             controllers: controllers.collect(),
             workers: workers.collect(),
-            cloud: SimulatedCloud::new(types()),
+            cloud: SimulatedCloud::new(machine_types()),
             network: NetworkFaults::default(),
             users: SimulatedUsers::default(),
             invariants: Invariants::default(),
--- a/src/controller/tests/simulation/controller.rs
+++ b/src/controller/tests/simulation/controller.rs
@@ -12,7 +12,7 @@
 use crate::controller::messages::{DirectAnswer, Effect, Input, StoreChanges, StoreSnapshot};
 use crate::ids::{Label, Revision};
 use crate::mesh::Message;
-use crate::policy::tests::standard;
+use crate::policy::tests::built_in;
 use crate::settings::Settings;
 use crate::store::{WatchEvent, keys};
 use crate::subsystems::Subsystems;
@@ -59,7 +59,7 @@
     pub fn start(&mut self, now: Micros, idle_release_after: Micros) {
         // The simulation's default is so long that idle machines are not released unless a test
         // sets a shorter time.
-        let mut policy = standard();
+        let mut policy = built_in();
         policy.spot_idle_timeout = idle_release_after;
         policy.on_demand_idle_timeout = idle_release_after;
         let core = Core::new(self.settings.clone(), Rc::new(policy), now);
--- a/src/controller/tests/starvation.rs
+++ b/src/controller/tests/starvation.rs
@@ -2,7 +2,7 @@
 
 use super::simulation::{Simulation, secs};
 use crate::jobs::Priority;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use std::collections::BTreeSet;
 
 /// A job that needs its team's whole limit could wait for ever while small jobs of the same team
@@ -12,11 +12,11 @@
     let mut simulation = Simulation::started(1, 3);
     simulation.task_duration = Some(secs(10.0));
     // The job needs its team's whole limit on one of the three machines.
-    let mut whole_machine = desc("j-90001", 1);
+    let mut whole_machine = job_desc("j-90001", 1);
     whole_machine.cores = 16.0;
     simulation.submit(&whole_machine);
     for number in 0..170 {
-        let mut stream = desc(&format!("j-{number}"), 1);
+        let mut stream = job_desc(&format!("j-{number}"), 1);
         stream.priority = Priority::Production;
         // Without a deadline the small job has no slack, so it yields no machine to the large job.
         stream.deadline_s = None;
@@ -34,15 +34,15 @@
     simulation.task_duration = Some(secs(10.0));
     // A job that needs a whole machine, a job of the lowest priority, a job that misses its
     // deadline, a large job array, and a job of another team.
-    let mut whole_machine = desc("j-90001", 1);
+    let mut whole_machine = job_desc("j-90001", 1);
     whole_machine.cores = 16.0;
-    let mut low_priority = desc("j-90002", 2);
+    let mut low_priority = job_desc("j-90002", 2);
     low_priority.priority = Priority::Idle;
     low_priority.class = "other".into();
-    let mut overdue = desc("j-90003", 2);
+    let mut overdue = job_desc("j-90003", 2);
     overdue.deadline_s = Some(1.0);
-    let large_array = desc("j-90004", 100);
-    let mut other_team = desc("j-90005", 2);
+    let large_array = job_desc("j-90004", 100);
+    let mut other_team = job_desc("j-90005", 2);
     other_team.team = "blue".into();
     for job in [
         &whole_machine,
@@ -56,7 +56,7 @@
     let mut started = BTreeSet::new();
     for number in 0..230 {
         // The stream needs twice the machine's capacity and has a higher priority than most jobs.
-        let mut stream = desc(&format!("j-{number}"), 2);
+        let mut stream = job_desc(&format!("j-{number}"), 2);
         stream.priority = Priority::Production;
         stream.team = if number % 2 == 0 { "red" } else { "blue" }.into();
         stream.deadline_s = Some(1_000.0);
--- a/src/controller/tests/store_limits.rs
+++ b/src/controller/tests/store_limits.rs
@@ -7,7 +7,7 @@
 use crate::clock::Micros;
 use crate::ids::{JobId, MachineId, PartitionId, Term};
 use crate::jobs::JobState;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use crate::partitions::{MachineRecord, ReleaseReason, ShardRecord};
 use crate::store::{Mutation, keys};
 use serde_json::{Value, json};
@@ -79,7 +79,7 @@
     lower_limits(&mut simulation);
     simulation.advance(30.0);
     assert_eq!(recorded_machine_count(&simulation), 150);
-    simulation.submit(&desc("j-1", 600));
+    simulation.submit(&job_desc("j-1", 600));
     simulation.advance(15.0);
     assert_eq!(simulation.running_count(), 600);
     // Every second task ends, which gives the largest progress page.
@@ -119,7 +119,7 @@
         "each machine is recorded once"
     );
     lower_limits(&mut simulation);
-    simulation.submit(&desc("j-1", 400));
+    simulation.submit(&job_desc("j-1", 400));
     simulation.advance(10.0);
     assert_eq!(simulation.running_count(), 400);
 }
@@ -160,7 +160,7 @@
 fn oversize_progress_page_is_kept_in_parts() {
     let mut simulation = with_announced_limits(2, 60);
     simulation.advance(15.0);
-    simulation.submit(&desc("j-1", 800));
+    simulation.submit(&job_desc("j-1", 800));
     let done: Vec<(u32, u32)> = (0..400).map(|index| (2 * index, 2 * index + 1)).collect();
     let page = json!({"owner": "c0", "done": done, "running": 0});
     let id = JobId::from("j-1");
--- a/src/controller/tests/store_outages.rs
+++ b/src/controller/tests/store_outages.rs
@@ -5,7 +5,7 @@
 use crate::api::channels::HeartbeatAnswer;
 use crate::api::read_index::JobLookup;
 use crate::jobs::JobState;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 
 /// In an outage of the store all controllers are affected alike. Reporting them as unhealthy would
 /// leave users without any controller.
@@ -37,14 +37,14 @@
 #[test]
 fn after_outages_every_controller_answers_for_every_job_within_seconds() {
     let mut simulation = Simulation::started(3, 2);
-    simulation.submit(&desc("j-1", 2));
+    simulation.submit(&job_desc("j-1", 2));
     simulation.advance(3.0);
     let cut_off = (simulation.owner() + 1) % 3;
     simulation.controllers[cut_off].faults.is_cut_from_store = true;
     simulation.finish_all();
     simulation.advance(4.0);
     for number in 2..20 {
-        simulation.submit(&desc(&format!("j-{number}"), 1));
+        simulation.submit(&job_desc(&format!("j-{number}"), 1));
     }
     simulation.advance(20.0);
     assert_eq!(simulation.ended_state("j-1"), Some(JobState::Done));
@@ -95,7 +95,7 @@
 fn raise_fencing_tokens(simulation: &mut Simulation) {
     for number in 2..6 {
         simulation.network.holds_commands = true;
-        simulation.submit(&desc(&format!("j-{number}"), 1));
+        simulation.submit(&job_desc(&format!("j-{number}"), 1));
         simulation.advance(0.3);
         simulation.network.holds_commands = false;
         simulation.advance(4.0);
@@ -114,7 +114,7 @@
 #[test]
 fn listing_the_store_again_keeps_running_tasks() {
     let mut simulation = Simulation::started(1, 2);
-    simulation.submit(&desc("j-1", 4));
+    simulation.submit(&job_desc("j-1", 4));
     simulation.advance(3.0);
     raise_fencing_tokens(&mut simulation);
     let copies = [
@@ -126,10 +126,10 @@
     let earlier = fencing_tokens(&simulation);
     // While the owner is cut from the store, a job is submitted and another one is cancelled. The
     // owner learns of both from the list.
-    simulation.submit(&desc("j-7", 1));
+    simulation.submit(&job_desc("j-7", 1));
     simulation.advance(2.0);
     simulation.controllers[0].faults.is_cut_from_store = true;
-    simulation.submit(&desc("j-8", 2));
+    simulation.submit(&job_desc("j-8", 2));
     simulation.cancel("j-7");
     simulation.advance(1.0);
     simulation.controllers[0].lose_watch();
--- a/src/controller/tests/zone_failover/capacity.rs
+++ b/src/controller/tests/zone_failover/capacity.rs
@@ -6,7 +6,7 @@
 };
 use crate::controller::tests::simulation::ZONES;
 use crate::jobs::Priority;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use crate::store::keys;
 
 /// Work must not start in a closed zone while other zones may get free capacity. It must not wait
@@ -17,10 +17,10 @@
     let declared_out = "[[zone-failover.declared]]\nzone = \"x\"\nstate = \"out\"\n";
     let mut simulation = three_zones(4, &format!("{FAILOVER_ENABLED}{declared_out}"));
     fill_zones(&mut simulation, ["y", "z"], 8);
-    let mut zone_bound = desc("j-2", 2);
+    let mut zone_bound = job_desc("j-2", 2);
     zone_bound.zone = Some("x".into());
     simulation.submit(&zone_bound);
-    simulation.submit(&desc("j-1", 2));
+    simulation.submit(&job_desc("j-1", 2));
     simulation.advance(20.0);
     assert_eq!(
         (
@@ -44,7 +44,7 @@
     let mut simulation = three_zones(4, FAILOVER_ENABLED);
     simulation.cloud.has_capacity = true;
     simulation.cloud.zones_without_capacity.extend(["y", "z"]);
-    simulation.submit(&desc("j-1", 40));
+    simulation.submit(&job_desc("j-1", 40));
     simulation.advance_until(20.0, |simulation| !simulation.cloud.scale_outs.is_empty());
     simulation.set_zone_isolated("x", true);
     for worker in &mut simulation.workers[12..] {
@@ -66,7 +66,7 @@
     let file = format!("{FAILOVER_ENABLED}evacuation-priority = 'tasks'\n");
     let mut simulation = three_zones(4, &file);
     simulation.cloud.zones_without_capacity.extend(ZONES);
-    let mut low = desc("j-1", 24);
+    let mut low = job_desc("j-1", 24);
     (low.priority, low.deadline_s, low.checkpoint_interval_s) = (Priority::Idle, None, 5.0);
     low.estimated_run_time_s = 1_000.0;
     simulation.submit(&low);
@@ -74,7 +74,7 @@
     assert_eq!(simulation.running_count(), 24, "the fleet is full");
     simulation.set_zone_isolated("x", true);
     simulation.advance_until(20.0, |simulation| zone_state(simulation, "x") == "lost");
-    let mut urgent = desc("j-2", 8);
+    let mut urgent = job_desc("j-2", 8);
     (urgent.priority, urgent.deadline_s) = (Priority::Production, Some(15.0));
     simulation.submit(&urgent);
     simulation.advance(10.0);
@@ -88,8 +88,8 @@
     let mut simulation = three_zones(4, FAILOVER_ENABLED);
     simulation.cloud.has_capacity = true;
     simulation.cloud.zones_without_capacity.extend(["y", "z"]);
-    simulation.submit(&desc("j-1", 24));
-    let mut zone_bound = desc("j-2", 4);
+    simulation.submit(&job_desc("j-1", 24));
+    let mut zone_bound = job_desc("j-2", 4);
     zone_bound.zone = Some("x".into());
     simulation.submit(&zone_bound);
     simulation.advance(6.0);
@@ -120,7 +120,7 @@
         1_334,
         &format!("{FAILOVER_ENABLED}[zone-failover.waves]\nmachines = 200\ntasks = 2000\n"),
     );
-    simulation.submit(&desc("j-1", 6_000));
+    simulation.submit(&job_desc("j-1", 6_000));
     simulation.advance(8.0);
     assert_eq!(simulation.running_count(), 6_000);
     let mutations = simulation.store.mutation_count;
--- a/src/controller/tests/zone_failover/controller_changes.rs
+++ b/src/controller/tests/zone_failover/controller_changes.rs
@@ -6,7 +6,7 @@
     zone_epoch, zone_state,
 };
 use crate::controller::tests::simulation::{Simulation, ZONES};
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use crate::store::{Mutation, keys};
 use crate::subsystems::Subsystems;
 use serde_json::json;
@@ -18,7 +18,7 @@
 fn zone_lost_with_the_leader_and_a_second_zone_during_its_evacuation() {
     let mut simulation = three_zones(5, FAILOVER_ENABLED);
     simulation.cloud.has_capacity = true;
-    simulation.submit(&desc("j-1", 24));
+    simulation.submit(&job_desc("j-1", 24));
     simulation.advance(6.0);
     let first_leader = leader(&simulation);
     let zone = ZONES[first_leader];
@@ -57,7 +57,7 @@
     for step in 0..16 {
         let mut simulation = three_zones(3, &file);
         simulation.cloud.has_capacity = true;
-        simulation.submit(&desc("j-1", 14));
+        simulation.submit(&job_desc("j-1", 14));
         simulation.advance(5.0);
         simulation.set_zone_isolated("x", true);
         simulation.advance(2.0 + 2.0 * f64::from(step));
@@ -77,7 +77,7 @@
         finish_jobs(&mut simulation, &["j-1"]);
         // Controllers probe whether the zone is healthy again only while tasks are pending.
         simulation.task_duration = None;
-        simulation.submit(&desc("j-2", 100));
+        simulation.submit(&job_desc("j-2", 100));
         simulation.advance_until(120.0, |simulation| zone_state(simulation, "x") == "healthy");
         assert!(
             zone_epoch(&simulation, "x") <= earlier_epoch + 1,
@@ -100,7 +100,7 @@
         simulation.cloud.has_capacity = true;
         let set = Mutation::put(keys::ZONES.into(), &value);
         simulation.store.commit(vec![set]);
-        simulation.submit(&desc("j-1", 20));
+        simulation.submit(&job_desc("j-1", 20));
         simulation.advance(6.0);
         simulation.set_zone_isolated("x", true);
         simulation.advance(50.0);
@@ -131,7 +131,7 @@
         &format!("{FAILOVER_ENABLED}[zone-failover.waves]\nmachines = 1\n"),
     );
     simulation.cloud.has_capacity = true;
-    simulation.submit(&desc("j-1", 22));
+    simulation.submit(&job_desc("j-1", 22));
     simulation.advance(6.0);
     simulation.set_zone_isolated("x", true);
     simulation.advance_until(20.0, |simulation| zone_state(simulation, "x") == "lost");
@@ -143,7 +143,7 @@
         simulation.advance(4.0);
     }
     simulation.set_zone_isolated("x", false);
-    simulation.submit(&desc("j-2", 8));
+    simulation.submit(&job_desc("j-2", 8));
     finish_jobs(&mut simulation, &["j-1", "j-2"]);
 }
 
@@ -170,6 +170,6 @@
         "lost",
         "the record is unchanged"
     );
-    simulation.submit(&desc("j-1", 22));
+    simulation.submit(&job_desc("j-1", 22));
     finish_jobs(&mut simulation, &["j-1"]);
 }
--- a/src/controller/tests/zone_failover/detection.rs
+++ b/src/controller/tests/zone_failover/detection.rs
@@ -3,7 +3,7 @@
 
 use super::{FAILOVER_ENABLED, three_zones, workers_in, zone_epoch, zone_state};
 use crate::controller::tests::simulation::{Simulation, ZONES};
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use crate::store::keys;
 
 /// Evacuating a zone for a short isolation would restart its tasks without need. An isolation
@@ -12,7 +12,7 @@
 fn short_isolation_and_fast_flapping_move_nothing() {
     let mut simulation = three_zones(4, FAILOVER_ENABLED);
     simulation.cloud.has_capacity = true;
-    simulation.submit(&desc("j-1", 20));
+    simulation.submit(&job_desc("j-1", 20));
     simulation.advance(6.0);
     let placements = |simulation: &Simulation| -> Vec<Vec<usize>> {
         let tasks = (0..20).map(|index| format!("j-1/{index}"));
@@ -86,7 +86,7 @@
 fn half_a_zone_or_an_outage_of_cloud_or_store_is_no_lost_zone() {
     let mut simulation = three_zones(6, FAILOVER_ENABLED);
     simulation.cloud.has_capacity = true;
-    simulation.submit(&desc("j-1", 30));
+    simulation.submit(&job_desc("j-1", 30));
     simulation.advance(6.0);
     for worker in workers_in(&simulation, "x").into_iter().take(3) {
         simulation.workers[worker].is_isolated = true;
--- a/src/controller/tests/zone_failover/evacuation.rs
+++ b/src/controller/tests/zone_failover/evacuation.rs
@@ -7,7 +7,7 @@
 };
 use crate::controller::tests::simulation::{ExitCause, Simulation, ZONES};
 use crate::jobs::Priority;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 
 /// The regular course of a failover: an isolated zone becomes suspect and then lost, and its tasks
 /// start in the other zones. After the reconnection it is on probation and then healthy.
@@ -15,7 +15,7 @@
 fn lost_zone_is_evacuated_and_becomes_healthy_again() {
     let mut simulation = three_zones(6, FAILOVER_ENABLED);
     simulation.cloud.has_capacity = true;
-    simulation.submit(&desc("j-1", 30));
+    simulation.submit(&job_desc("j-1", 30));
     simulation.advance(6.0);
     assert_eq!(simulation.running_count(), 30);
     assert!(running_in(&simulation, "x", "j-1/") > 0);
@@ -40,7 +40,7 @@
     );
     // After the reconnection the zone is first on probation and then healthy.
     simulation.set_zone_isolated("x", false);
-    simulation.submit(&desc("j-2", 400));
+    simulation.submit(&job_desc("j-2", 400));
     simulation.advance_until(60.0, |simulation| {
         zone_state(simulation, "x") == "probation"
     });
@@ -62,7 +62,7 @@
     let deadlines = [5_000.0, 8_000.0, 6_000.0, 7_000.0];
     fill_zones(&mut simulation, ["y", "z"], 16);
     for (id, deadline) in ids.iter().zip(deadlines) {
-        let mut job = desc(id, 4);
+        let mut job = job_desc(id, 4);
         (job.deadline_s, job.priority) = (Some(deadline), Priority::Standard);
         simulation.submit(&job);
     }
@@ -114,7 +114,7 @@
         simulation.cloud.has_capacity = true;
         fill_zones(&mut simulation, ["y", "z"], 8);
         for number in 1..5 {
-            simulation.submit(&desc(&format!("j-{number}"), 2));
+            simulation.submit(&job_desc(&format!("j-{number}"), 2));
         }
         simulation.advance(3.0);
         assert_eq!(running_in(&simulation, "x", "j-"), 8);
@@ -157,7 +157,7 @@
     );
     fill_zones(&mut simulation, ["y", "z"], 8);
     for (id, tasks, deadline) in [("j-1", 3, 60.0), ("j-2", 5, 6_000.0)] {
-        let mut job = desc(id, tasks);
+        let mut job = job_desc(id, tasks);
         job.deadline_s = Some(deadline);
         simulation.submit(&job);
     }
@@ -181,11 +181,11 @@
 fn single_zone_and_anti_affinity_jobs_move_whole_and_a_cancellation_holds() {
     let mut simulation = three_zones(5, FAILOVER_ENABLED);
     simulation.cloud.has_capacity = true;
-    let mut single_zone = desc("j-1", 6);
+    let mut single_zone = job_desc("j-1", 6);
     single_zone.single_zone = true;
-    let mut anti_affinity = desc("j-2", 6);
+    let mut anti_affinity = job_desc("j-2", 6);
     anti_affinity.anti_affinity = true;
-    for job in [&single_zone, &anti_affinity, &desc("j-3", 8)] {
+    for job in [&single_zone, &anti_affinity, &job_desc("j-3", 8)] {
         simulation.submit(job);
     }
     simulation.advance(6.0);
--- a/src/controller/tests/zone_failover/failback.rs
+++ b/src/controller/tests/zone_failover/failback.rs
@@ -6,7 +6,7 @@
     three_zones, three_zones_with, workers_in, zone_state,
 };
 use crate::controller::tests::simulation::ExitCause;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 
 /// A zone is reconnected whose machines still run, or have finished, tasks that were started
 /// elsewhere during the isolation. Heartbeats from these machines must not finish a task twice or
@@ -16,7 +16,7 @@
     let mut simulation = three_zones(4, FAILOVER_ENABLED);
     simulation.network.copies_heartbeats = true;
     fill_zones(&mut simulation, ["y", "z"], 8);
-    simulation.submit(&desc("j-1", 8));
+    simulation.submit(&job_desc("j-1", 8));
     simulation.advance(3.0);
     assert_eq!(running_in(&simulation, "x", "j-1/"), 8);
     simulation.exit_all_of("j-9", ExitCause::Done);
@@ -66,7 +66,7 @@
         }
     });
     simulation.cloud.is_unreachable = true;
-    let mut checkpointing = desc("j-1", 70);
+    let mut checkpointing = job_desc("j-1", 70);
     (
         checkpointing.checkpoint_interval_s,
         checkpointing.estimated_run_time_s,
--- a/src/controller/tests/zone_failover/histories.rs
+++ b/src/controller/tests/zone_failover/histories.rs
@@ -3,7 +3,7 @@
 
 use super::{CONTROLLERS, FAILOVER_ENABLED, finish_jobs, three_zones};
 use crate::controller::tests::simulation::{Simulation, ZONES};
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use crate::store::keys;
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
@@ -115,7 +115,7 @@
         simulation.network.copies_heartbeats = true;
         let ids = ["j-1", "j-2", "j-3"];
         for (id, tasks) in ids.iter().zip([9, 4, 6]) {
-            simulation.submit(&desc(id, tasks));
+            simulation.submit(&job_desc(id, tasks));
         }
         simulation.advance(4.0);
         for event in &events {
--- a/src/controller/tests/zone_failover/mod.rs
+++ b/src/controller/tests/zone_failover/mod.rs
@@ -13,7 +13,7 @@
 use super::simulation::{SimulatedWorker, Simulation, ZONES, secs};
 use crate::ids::MachineId;
 use crate::jobs::JobState;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use crate::subsystems::Subsystems;
 use serde_json::json;
 
@@ -136,7 +136,7 @@
 /// zone has free capacity. The jobs are `j-90` and `j-91`.
 fn fill_zones(simulation: &mut Simulation, zones: [&str; 2], tasks: u32) {
     for (index, zone) in zones.into_iter().enumerate() {
-        let mut filler = desc(&format!("j-9{index}"), tasks);
+        let mut filler = job_desc(&format!("j-9{index}"), tasks);
         filler.zone = Some(zone.into());
         simulation.submit(&filler);
     }
--- a/src/jobs/dependencies/tests.rs
+++ b/src/jobs/dependencies/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the dependency graph.
 
-use super::super::tests::{desc, rec};
+use super::super::tests::{job_desc, job_record};
 use super::*;
 use crate::ids::Term;
 use crate::store::{KeyValue, Versioned};
@@ -20,7 +20,7 @@
 /// Live jobs, each given by its id and its dependencies.
 fn live(jobs: &[(&str, &[&str])]) -> LiveJobs {
     let job = |(id, dependencies): &(&str, &[&str])| {
-        let mut record = rec(id, 1, Term(1));
+        let mut record = job_record(id, 1, Term(1));
         record.desc.dependencies = dependencies.iter().map(|name| JobId::from(*name)).collect();
         record.desc.priority = Priority::Idle;
         record.desc.deadline_s = None;
@@ -215,7 +215,7 @@
     let count = 20_000;
     let mut jobs: LiveJobs = LiveJobs::new();
     for number in 0..count {
-        let mut record = rec(&format!("j-{number}"), 1, Term(1));
+        let mut record = job_record(&format!("j-{number}"), 1, Term(1));
         let before = (number > 0).then(|| JobId::from(format!("j-{}", number - 1)));
         record.desc.dependencies = before.into_iter().collect();
         let id = record.desc.id.clone();
@@ -242,8 +242,8 @@
 #[test]
 fn reads_of_ended_records_in_flight_are_bounded() {
     let names: Vec<String> = (0..50).map(|number| format!("j-{number}")).collect();
-    let mut record = rec("j-99", 1, Term(1));
-    record.desc = desc("j-99", 1);
+    let mut record = job_record("j-99", 1, Term(1));
+    record.desc = job_desc("j-99", 1);
     record.desc.dependencies = names
         .iter()
         .map(|name| JobId::from(name.as_str()))
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 /// The body of a valid submission, with a field `new` that no version knows.
-pub fn body() -> serde_json::Value {
+pub fn submission_body() -> serde_json::Value {
     serde_json::json!({
         "id": "j-000412", "lot": "train", "crew": "red", "form": "sweep", "rank": "high", "hands": 4,
         "cores": 2.0, "cards": 0.0, "memGb": 4.0, "deck": "img-07", "sizeGb": 1.0,
@@ -22,24 +22,24 @@
 }
 
 /// The description of a valid job with this id and this number of tasks.
-pub fn desc(id: &str, tasks: u32) -> JobDesc {
-    let mut body = body();
+pub fn job_desc(id: &str, tasks: u32) -> JobDesc {
+    let mut body = submission_body();
     body["id"] = id.into();
     body["hands"] = tasks.into();
     JobDesc::parse(body.to_string().as_bytes()).expect("well formed")
 }
 
 /// The record of a valid job that was accepted at wall-clock time 0.
-pub fn rec(id: &str, tasks: u32, accepted_term: Term) -> JobRecord {
+pub fn job_record(id: &str, tasks: u32, accepted_term: Term) -> JobRecord {
     JobRecord {
-        desc: desc(id, tasks),
+        desc: job_desc(id, tasks),
         accepted_at: Micros(0),
         accepted_term,
     }
 }
 
 /// Two machine types: `small` in the zones `x` and `y`, and `big` in the zone `x` only.
-pub fn types() -> Vec<MachineType> {
+pub fn machine_types() -> Vec<MachineType> {
     serde_json::from_value(serde_json::json!([
         {"name": "small", "cores": 4.0, "cards": 0.0, "memGb": 16.0, "cacheGb": 50.0, "pullGbPerS": 1.0,
          "price": 0.2, "lowPrice": 0.1, "readyS": 30.0, "yards": ["x", "y"]},
@@ -53,7 +53,7 @@
 #[test]
 fn missing_or_invalid_fields_are_malformed() {
     let parse = |body: &serde_json::Value| JobDesc::parse(body.to_string().as_bytes());
-    assert!(parse(&body()).is_ok());
+    assert!(parse(&submission_body()).is_ok());
     assert!(matches!(
         JobDesc::parse(b"{"),
         Err(MalformedJob::NotJson(_))
@@ -76,13 +76,13 @@
         ("oneZone", serde_json::json!(null)),
     ];
     for (field, value) in cases {
-        let mut body = body();
+        let mut body = submission_body();
         body[field] = value.clone();
         assert!(parse(&body).is_err(), "{field} = {value}");
     }
-    for field in body().as_object().expect("an object").keys() {
+    for field in submission_body().as_object().expect("an object").keys() {
         let is_optional = ["builds", "yard", "dueS", "new"].contains(&field.as_str());
-        let (mut without, mut null) = (body(), body());
+        let (mut without, mut null) = (submission_body(), submission_body());
         without.as_object_mut().expect("an object").remove(field);
         null[field] = serde_json::Value::Null;
         for body in [without, null] {
@@ -97,11 +97,14 @@
 #[test]
 fn unsatisfiable_jobs_are_refused() {
     let settings = settings();
-    assert_eq!(desc("j-1", 4).admissible(&settings, &types()), Ok(()));
+    assert_eq!(
+        job_desc("j-1", 4).admissible(&settings, &machine_types()),
+        Ok(())
+    );
     let is_refused = |change: &dyn Fn(&mut JobDesc)| {
-        let mut desc = desc("j-1", 4);
+        let mut desc = job_desc("j-1", 4);
         change(&mut desc);
-        desc.admissible(&settings, &types()).is_err()
+        desc.admissible(&settings, &machine_types()).is_err()
     };
     assert!(is_refused(&|desc| desc.team = "green".into()));
     assert!(is_refused(&|desc| desc.cores = 17.0));
@@ -145,13 +148,18 @@
 fn progress_of_a_large_job_is_split_into_pages_within_the_value_limit() {
     for value_kb in [1.0, 16.0, 32.0] {
         let page_tasks = tasks_per_page(value_kb);
-        let mut job = Job::new(&rec("j-1", MAX_TASKS, Term(1)), Revision(1), 0, page_tasks);
+        let mut job = Job::new(
+            &job_record("j-1", MAX_TASKS, Term(1)),
+            Revision(1),
+            0,
+            page_tasks,
+        );
         // The worst pattern: every other task of the whole job is finished.
         for index in (0..MAX_TASKS).step_by(2) {
             job.finish(index);
         }
         let (mut largest_bytes, mut writes) = (0, 0);
-        let mut restored = Job::new(&rec("j-1", MAX_TASKS, Term(1)), Revision(1), 0, 999);
+        let mut restored = Job::new(&job_record("j-1", MAX_TASKS, Term(1)), Revision(1), 0, 999);
         while (0..MAX_TASKS)
             .step_by(page_tasks as usize)
             .any(|index| job.is_dirty(index))
@@ -188,7 +196,7 @@
 /// are kept although there is room to delete them.
 #[test]
 fn end_transaction_replaces_the_live_record_and_deletes_pages() {
-    let mut job = Job::new(&rec("j-1", 2, Term(1)), Revision(1), 0, 512);
+    let mut job = Job::new(&job_record("j-1", 2, Term(1)), Revision(1), 0, 512);
     job.finish(0);
     assert!(job.finish(1) && !job.finish(1));
     job.set_page_revision(0, Revision(5));
@@ -210,7 +218,7 @@
 #[test]
 fn urgency_orders_by_deadline_then_start_objective_then_work_per_wait() {
     let job = |tasks: u32, at: f64| {
-        let mut record = rec("j-1", tasks, Term(1));
+        let mut record = job_record("j-1", tasks, Term(1));
         record.accepted_at = Micros::from_secs(at);
         record.desc.deadline_s = None;
         Job::new(&record, Revision(1), 0, 64)
@@ -249,7 +257,7 @@
         accepted_term: Term(1),
     };
     let job = |spot: bool, choice: PolicyChoice| {
-        let mut desc = desc("j-1", 4);
+        let mut desc = job_desc("j-1", 4);
         desc.spot = spot;
         desc.deadline_s = Some(60.0);
         let mut job = Job::new(&record(desc), Revision(1), 0, 64);
@@ -279,7 +287,7 @@
 #[test]
 fn dependencies_are_deduplicated_and_left_out_of_the_record_if_empty() {
     let parse_with = |named: serde_json::Value| {
-        let mut body = body();
+        let mut body = submission_body();
         body["hinges"] = named;
         JobDesc::parse(body.to_string().as_bytes())
     };
@@ -314,12 +322,22 @@
     // task is finished.
     let page_tasks = tasks_per_page(32.0);
     let tasks = 3 * page_tasks;
-    let mut job = Job::new(&rec("j-1", tasks, Term(1)), Revision(1), 0, page_tasks);
+    let mut job = Job::new(
+        &job_record("j-1", tasks, Term(1)),
+        Revision(1),
+        0,
+        page_tasks,
+    );
     job.limit_value_bytes(value_bytes);
     for index in (0..tasks).step_by(2) {
         job.finish(index);
     }
-    let mut restored = Job::new(&rec("j-1", tasks, Term(1)), Revision(1), 0, page_tasks);
+    let mut restored = Job::new(
+        &job_record("j-1", tasks, Term(1)),
+        Revision(1),
+        0,
+        page_tasks,
+    );
     let mut numbers = BTreeSet::new();
     for _ in 0..3 {
         let ProgressTransaction {
@@ -356,7 +374,7 @@
 /// and against an owner that waits for machines on which no earlier owner can have started the job.
 #[test]
 fn job_with_dependencies_is_eligible_from_their_end() {
-    let mut record = rec("j-2", 2, Term(1));
+    let mut record = job_record("j-2", 2, Term(1));
     record.desc.dependencies = vec!["j-1".into()];
     let mut job = Job::new(&record, Revision(1), 0, 64);
     assert!(
@@ -398,7 +416,7 @@
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn refusals_of_submissions_print_exactly_these_texts() {
     let malformed = |field: &str, value: serde_json::Value| {
-        let mut body = body();
+        let mut body = submission_body();
         body[field] = value;
         let refusal = JobDesc::parse(body.to_string().as_bytes()).expect_err(field);
         SubmissionError::from(refusal).to_string()
@@ -438,9 +456,11 @@
 
     let settings = settings();
     let never_runs = |change: &dyn Fn(&mut JobDesc)| {
-        let mut desc = desc("j-1", 4);
+        let mut desc = job_desc("j-1", 4);
         change(&mut desc);
-        let refusal = desc.admissible(&settings, &types()).expect_err("refused");
+        let refusal = desc
+            .admissible(&settings, &machine_types())
+            .expect_err("refused");
         SubmissionError::from(refusal).to_string()
     };
     let too_many = |count: u32| (0..count).map(|number| format!("j-{number:08}").into());
--- a/src/partition_owner/tests.rs
+++ b/src/partition_owner/tests.rs
@@ -5,9 +5,9 @@
 use crate::clock::Micros;
 use crate::fairness::Resources;
 use crate::ids::{FencingToken, MachineId, PartitionId, Revision, Term};
-use crate::jobs::tests::{rec, types};
+use crate::jobs::tests::{job_record, machine_types};
 use crate::partitions::{MachineRecord, PartitionOwnerRecord, ShardRecord};
-use crate::policy::tests::standard;
+use crate::policy::tests::built_in;
 use crate::settings::NextStateLimits;
 use crate::settings::tests::settings;
 use crate::store::{Compare, Mutation, Reply, WatchEvent, keys};
@@ -69,11 +69,11 @@
         };
         let mut cache = WatchCache::default();
         apply_shard(&mut cache, &["m-1"], 5);
-        let policy = Rc::new(standard());
+        let policy = Rc::new(built_in());
         let now = secs(1.0);
         let mut owner =
             OwnedPartition::new(PartitionId(0), &grant, Revision(4), &settings, &policy, now);
-        owner.fail_over(now, &cache, &types());
+        owner.fail_over(now, &cache, &machine_types());
         Fixture {
             owner,
             cache,
@@ -114,7 +114,8 @@
     /// Reconciles the owner with the first shard in the cache.
     fn reconcile_shard(&mut self, now: Micros) {
         let cache = &self.cache;
-        self.owner.reconcile_shard(now, 0, cache, &types(), false);
+        self.owner
+            .reconcile_shard(now, 0, cache, &machine_types(), false);
     }
 
     /// Delivers a heartbeat of m-1, and then a tick of the owner.
@@ -205,7 +206,7 @@
     // have failed.
     apply_shard(&mut fixture.cache, &["m-1", "m-2"], 6);
     fixture.reconcile_shard(secs(103.5));
-    let job = serde_json::to_value(rec("j-1", 1, Term(3))).expect("a job record serializes");
+    let job = serde_json::to_value(job_record("j-1", 1, Term(3))).expect("a job record serializes");
     apply_set(&mut fixture.cache, keys::job(&"j-1".into()), job, 7);
     fixture.owner.reconcile_job(&"j-1".into(), &fixture.cache);
     fixture.heartbeat(secs(104.0));
--- a/src/placement/constrained/tests.rs
+++ b/src/placement/constrained/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use crate::ids::{Revision, Term};
-use crate::jobs::tests::{rec, types};
+use crate::jobs::tests::{job_record, machine_types};
 
 /// Guards against a waiting job that fits only the large machines and never starts, because
 /// small jobs that fit every machine type keep taking the large machines.
 #[test]
 fn unconstrained_job_yields_large_machines_to_a_constrained_job() {
-    let mut constrained = ConstrainedDemand::new(&types());
-    let mut small = Job::new(&rec("j-1", 4, Term(1)), Revision(1), 0, 64);
+    let mut constrained = ConstrainedDemand::new(&machine_types());
+    let mut small = Job::new(&job_record("j-1", 4, Term(1)), Revision(1), 0, 64);
     small.start_latency_objective = Some(Micros::from_secs(70.0));
     let soon = Micros::from_secs(5.0);
     assert!(
@@ -30,7 +30,7 @@
     );
     // A job without start latency objective and deadline yields as long as its tasks start
     // elsewhere.
-    let mut background = rec("j-3", 4, Term(1));
+    let mut background = job_record("j-3", 4, Term(1));
     background.desc.deadline_s = None;
     let mut background = Job::new(&background, Revision(1), 0, 64);
     let later = Micros::from_secs(100.0);
@@ -45,7 +45,7 @@
         vec!["big"]
     );
     // A job that fits no more machine types than the waiting class yields none.
-    let mut large = rec("j-2", 4, Term(1));
+    let mut large = job_record("j-2", 4, Term(1));
     large.desc.cores = 8.0;
     let mut large = Job::new(&large, Revision(1), 0, 64);
     large.start_latency_objective = Some(Micros::from_secs(70.0));
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -3,11 +3,11 @@
 
 use super::*;
 use crate::jobs::Priority;
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use crate::settings::tests::settings;
 
 /// Returns the built-in policy for the example settings.
-pub fn standard() -> Policy {
+pub fn built_in() -> Policy {
     Policy::built_in(&settings()).expect("a valid default")
 }
 
@@ -28,8 +28,8 @@
     let policy = parse(text);
     assert_eq!(policy.silence_timeout, Micros::from_secs(15.0));
     assert_eq!(policy.spot_idle_timeout, Micros::from_secs(14.0));
-    assert_eq!(policy.scale_out_horizon, standard().scale_out_horizon);
-    assert_eq!(Policy::parse(DEFAULT, &settings()), Ok(standard()));
+    assert_eq!(policy.scale_out_horizon, built_in().scale_out_horizon);
+    assert_eq!(Policy::parse(DEFAULT, &settings()), Ok(built_in()));
 }
 
 #[test]
@@ -38,16 +38,16 @@
             spot = rank != "high" or estimate_s < 5;
             rent = clamp(tasks / max(estimate_s, 1), 0.5, 2);"#;
     let policy = parse(text);
-    let small = policy.choice_for(&desc("j-1", 4));
+    let small = policy.choice_for(&job_desc("j-1", 4));
     let rent = 0.5;
     assert_eq!(
         (small.weight, small.spot, small.scale_out_factor),
         (2.5, false, rent)
     );
-    let large = policy.choice_for(&desc("j-1", 400));
+    let large = policy.choice_for(&job_desc("j-1", 400));
     assert_eq!((large.weight, large.scale_out_factor), (1.0, 2.0));
     assert_eq!(
-        standard().choice_for(&desc("j-1", 4)),
+        built_in().choice_for(&job_desc("j-1", 4)),
         PolicyChoice::default()
     );
 }
@@ -104,7 +104,7 @@
         settings.platform.teams[1].cpus = cores / 2.0;
         settings.platform.workers.heartbeat_interval_s = heartbeat_interval_s;
         settings.platform.limits.cpu_share = Some(cpu_share);
-        standard().partition_count(&settings)
+        built_in().partition_count(&settings)
     };
     assert_eq!(partitions(320.0, 3.0, 0.06), 1);
     assert_eq!(partitions(7_000.0, 8.0, 0.056), 1);
@@ -156,7 +156,7 @@
         policy.scale_out_horizon,
     ];
     assert_eq!(times.map(Micros::as_secs), [102.0, 103.0, 104.0, 105.0]);
-    let mut job = desc("j-1", 4);
+    let mut job = job_desc("j-1", 4);
     job.memory_gb = 4.5;
     let PolicyChoice {
         weight,
--- a/src/watch_cache/tests.rs
+++ b/src/watch_cache/tests.rs
@@ -51,7 +51,7 @@
 #[test]
 fn unreadable_records_are_counted_and_dropped_and_their_job_is_not_unknown() {
     let job = JobId::from("j-1");
-    let record = crate::jobs::tests::rec("j-1", 4, crate::ids::Term(1));
+    let record = crate::jobs::tests::job_record("j-1", 4, crate::ids::Term(1));
     let readable = serde_json::to_value(record).expect("a record");
     let broken = serde_json::json!({"desc": 7});
     let keys = [
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -6,7 +6,7 @@
 use crate::clock::Micros;
 use crate::fairness::Resources;
 use crate::ids::{AttemptId, FencingToken, TaskId, Term};
-use crate::jobs::tests::desc;
+use crate::jobs::tests::job_desc;
 use std::rc::Rc;
 
 /// Creates a heartbeat. Each item of `tasks` is a task, its attempt, its phase and its exit cause;
@@ -49,7 +49,7 @@
         task: TaskId::parse(task).expect("a task"),
         attempt: AttemptId(attempt),
     };
-    let job_desc = Rc::new(desc("j-1", 4));
+    let job_desc = Rc::new(job_desc("j-1", 4));
     let attempt = Attempt::new(AttemptPhase::Launching, Micros(0), Some((0, &job_desc)));
     machine.attempts.insert(key.clone(), attempt);
     key
