--- a/src/api/tests/wire_form.rs
+++ b/src/api/tests/wire_form.rs
@@ -20,6 +20,13 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
+/// Text that answers a user while the key-value store can't be reached.
+const STORE_UNREACHABLE: &str = "the cluster's key-value store can't be reached; retry";
+
+/// Text that answers a submission before the controller has loaded the machine types.
+const MACHINE_TYPES_NOT_LOADED: &str =
+    "this controller has not loaded the cloud's machine types yet; retry";
+
 /// Returns the status, the checked headers and the body of a response.
 fn status_headers_and_body(response: Response) -> (u16, String, String) {
     let headers = [RETRY_AFTER, CONTENT_TYPE].map(|name| {
@@ -91,19 +98,13 @@
     let answer = rendered(unknown.submit(other.to_string().as_bytes()).await);
     assert_eq!(answer, reply(422, r#"{"error":"unknown team green"}"#));
     let answer = rendered(context_with(|_| JobLookup::Unavailable).status("j-1").await);
-    assert_eq!(
-        answer,
-        retry_later("the cluster's key-value store can't be reached; retry")
-    );
+    assert_eq!(answer, retry_later(STORE_UNREACHABLE));
     let no_types = ApiView {
         types: None,
         ..view()
     };
     let answer = rendered(submit(no_types, committed, not_found).await);
-    assert_eq!(
-        answer,
-        retry_later("this controller has not loaded the cloud's machine types yet; retry")
-    );
+    assert_eq!(answer, retry_later(MACHINE_TYPES_NOT_LOADED));
 }
 
 #[tokio::test]
