--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -154,7 +154,7 @@
             Input::CloudReply { request, reply } => {
                 self.handle_cloud_reply(now, request, reply, &mut out);
             }
-            Input::Mesh(message) => self.handle_peer_message(now, message),
+            Input::PeerMessage(message) => self.handle_peer_message(now, message),
             Input::Cancelled { job, revision } => {
                 self.handle_own_cancellation(now, job, revision, &mut out);
             }
--- a/src/controller/core/dependencies.rs
+++ b/src/controller/core/dependencies.rs
@@ -105,6 +105,6 @@
         self.dependencies.graph.record_end(&job, JobEnd::Cancelled);
         self.sync_dependencies(now, out);
         self.handle_cancellation(job.clone(), revision);
-        out.push(Effect::Mesh(Message::Cancelled { job, revision }));
+        out.push(Effect::SendToPeers(Message::Cancelled { job, revision }));
     }
 }
--- a/src/controller/core/gossip.rs
+++ b/src/controller/core/gossip.rs
@@ -123,7 +123,7 @@
     }
 
     fn peer_state(&self, now: Micros, partitions: Vec<PartitionState>) -> Effect {
-        Effect::Mesh(Message::PeerState(PeerState {
+        Effect::SendToPeers(Message::PeerState(PeerState {
             sender: self.configuration.settings.label.clone(),
             incarnation: self.membership.incarnation().unwrap_or_default(),
             store_reachable: self.store.is_fresh(now),
--- a/src/controller/core/zones.rs
+++ b/src/controller/core/zones.rs
@@ -81,7 +81,7 @@
         let incarnation = self.membership.incarnation().unwrap_or_default();
         let zones = self.zones.as_mut()?;
         let evidence = zones.evidence(now, incarnation, counts);
-        Some(Effect::Mesh(Message::ZoneEvidence(evidence)))
+        Some(Effect::SendToPeers(Message::ZoneEvidence(evidence)))
     }
 
     fn zone_counts(&self, now: Micros) -> Vec<ZoneCounts> {
--- a/src/controller/driver.rs
+++ b/src/controller/driver.rs
@@ -148,7 +148,7 @@
                 }
             }),
             Effect::Cloud(request) => self.execute_cloud_request(request),
-            Effect::Mesh(message) => self.send_to_peers(&message),
+            Effect::SendToPeers(message) => self.send_to_peers(&message),
             Effect::PublishView(view) => {
                 let _ = self.view_out.send(view);
             }
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -162,7 +162,7 @@
         reply: CloudReply,
     },
     /// Message from a peer.
-    Mesh(Message),
+    PeerMessage(Message),
     /// Cancellation of a job that a user of this controller requested and the store has
     /// committed.
     Cancelled {
@@ -218,7 +218,7 @@
     /// Send a request to the cloud.
     Cloud(CloudRequest),
     /// Send a message to all peers.
-    Mesh(Message),
+    SendToPeers(Message),
     /// Publish a new view of this controller's state to the API.
     PublishView(Arc<ApiView>),
 }
--- a/src/controller/start.rs
+++ b/src/controller/start.rs
@@ -176,7 +176,7 @@
         .map_err(ListenError::on(settings.mesh_addr))?;
     let (messages_out, messages) = mpsc::channel(PEER_MESSAGE_QUEUE_CAPACITY);
     spawn_local(mesh::listen(listener, sockets.peers, messages_out));
-    spawn_local(forward(messages, inputs.clone(), Input::Mesh));
+    spawn_local(forward(messages, inputs.clone(), Input::PeerMessage));
     Ok(())
 }
 
--- a/src/controller/tests/cancellation.rs
+++ b/src/controller/tests/cancellation.rs
@@ -124,7 +124,10 @@
     // reads the job.
     simulation.controllers[owner].faults.is_rejected_by_store = false;
     let (job, revision) = ("j-2".into(), Revision(simulation.store.revision + 100));
-    simulation.handle_input(owner, Input::Mesh(Message::Cancelled { job, revision }));
+    simulation.handle_input(
+        owner,
+        Input::PeerMessage(Message::Cancelled { job, revision }),
+    );
     simulation.submit(&job_desc("j-2", 1));
     simulation.submit(&job_desc("j-3", 1));
     simulation.advance(4.0);
@@ -132,7 +135,10 @@
     assert!(simulation.has_started("j-3"));
     // A message with a revision that the watch has already applied changes nothing.
     let (job, revision) = ("j-3".into(), Revision(1));
-    simulation.handle_input(owner, Input::Mesh(Message::Cancelled { job, revision }));
+    simulation.handle_input(
+        owner,
+        Input::PeerMessage(Message::Cancelled { job, revision }),
+    );
     simulation.advance(4.0);
     assert_eq!(simulation.workers_running("j-3/0").len(), 1);
 }
--- a/src/controller/tests/characterization.rs
+++ b/src/controller/tests/characterization.rs
@@ -79,7 +79,7 @@
             ("direct", form)
         }
         Effect::Cloud(request) => ("cloud", http_form(&cloud::client::http_request(request))),
-        Effect::Mesh(message) => {
+        Effect::SendToPeers(message) => {
             let frame = mesh::encode(message).expect("a message has a frame");
             ("mesh", format!("{frame:?}"))
         }
--- a/src/controller/tests/simulation/controller.rs
+++ b/src/controller/tests/simulation/controller.rs
@@ -150,7 +150,7 @@
                         self.users.record_lookup(controller, request_id, lookup);
                     }
                     Effect::PublishView(view) => self.controllers[controller].view = view,
-                    Effect::Mesh(message) => self.send_to_peers(controller, &message),
+                    Effect::SendToPeers(message) => self.send_to_peers(controller, &message),
                     effect => inputs.extend(self.reply_to(controller, effect)),
                 }
             }
