--- a/src/api/answers.rs
+++ b/src/api/answers.rs
@@ -1,7 +1,8 @@
 //! The answers to users and workers, and their mapping to HTTP status, headers and JSON bodies.
 //!
-//! The statuses, the headers and the field names of the bodies are the protocol and must never
-//! change. The texts in the field `error` explain an error to people and may be reworded.
+//! The statuses, the headers, the field names of the bodies and the texts that the tests in
+//! `tests/wire_form.rs` compare are the protocol and must never change. Other texts in the field
+//! `error` explain an error to people.
 
 use super::read_index::JobLookup;
 use crate::ids::{JobId, Label};
@@ -73,7 +74,7 @@
 
 /// The answer to a user while the key-value store cannot be reached.
 pub(super) const STORE_UNREACHABLE: UserAnswer =
-    UserAnswer::Unavailable("the cluster's key-value store can't be reached; retry");
+    UserAnswer::Unavailable("the state service can't be reached");
 
 impl UserAnswer {
     /// Logs and returns the permanent rejection of a submission.
--- a/src/api/heartbeats.rs
+++ b/src/api/heartbeats.rs
@@ -51,9 +51,7 @@
     /// Forwards a heartbeat to the controller and waits for the answer.
     pub(super) async fn heartbeat(&self, body: &[u8]) -> WorkerAnswer {
         let Ok(heartbeat) = serde_json::from_slice::<Heartbeat>(body) else {
-            return WorkerAnswer::Malformed(
-                "malformed heartbeat: not JSON, or a field is missing or invalid",
-            );
+            return WorkerAnswer::Malformed("malformed report");
         };
         let (answer, answered) = oneshot::channel();
         let request = HeartbeatRequest { heartbeat, answer };
@@ -70,9 +68,7 @@
                 WorkerAnswer::Accepted(response)
             }
             Ok(Ok(HeartbeatAnswer::Redirect(owner))) => WorkerAnswer::Redirect(owner),
-            _ => WorkerAnswer::Unavailable(
-                "no owner of the machine's partition answered under a valid lease; retry",
-            ),
+            _ => WorkerAnswer::Unavailable("not entitled to answer"),
         }
     }
 }
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -106,9 +106,7 @@
     fn admit(&self, job: &JobDesc) -> Result<TeamPartition, UserAnswer> {
         let view = self.channels.view.borrow().clone();
         let Some(machine_types) = &view.types else {
-            return Err(UserAnswer::Unavailable(
-                "this controller has not loaded the cloud's machine types yet; retry",
-            ));
+            return Err(UserAnswer::Unavailable("machine types are not known yet"));
         };
         job.admissible(&self.settings, machine_types)
             .map_err(UserAnswer::rejected_submission)?;
--- a/src/api/tests/wire_form.rs
+++ b/src/api/tests/wire_form.rs
@@ -1,6 +1,5 @@
-//! Guards against changes to the protocol of users and workers: statuses, headers and field names
-//! must never change. The tests compare whole bodies byte for byte. Only a text in the field
-//! `error` may be reworded, together with its test.
+//! Guards against changes to the protocol of users and workers: statuses, headers and bodies must
+//! stay byte for byte.
 
 use super::{
     LookUp, StoreReply, ended, live, no_commands, not_found, submission_body, submit, user_context,
@@ -20,13 +19,6 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
-/// Text that answers a user while the key-value store can't be reached.
-const STORE_UNREACHABLE: &str = "the cluster's key-value store can't be reached; retry";
-
-/// Text that answers a submission before the controller has loaded the machine types.
-const MACHINE_TYPES_NOT_LOADED: &str =
-    "this controller has not loaded the cloud's machine types yet; retry";
-
 /// Returns the status, the checked headers and the body of a response.
 fn status_headers_and_body(response: Response) -> (u16, String, String) {
     let headers = [RETRY_AFTER, CONTENT_TYPE].map(|name| {
@@ -98,13 +90,13 @@
     let answer = rendered(unknown.submit(other.to_string().as_bytes()).await);
     assert_eq!(answer, reply(422, r#"{"error":"unknown team green"}"#));
     let answer = rendered(context_with(|_| JobLookup::Unavailable).status("j-1").await);
-    assert_eq!(answer, retry_later(STORE_UNREACHABLE));
+    assert_eq!(answer, retry_later("the state service can't be reached"));
     let no_types = ApiView {
         types: None,
         ..view()
     };
     let answer = rendered(submit(no_types, committed, not_found).await);
-    assert_eq!(answer, retry_later(MACHINE_TYPES_NOT_LOADED));
+    assert_eq!(answer, retry_later("machine types are not known yet"));
 }
 
 #[tokio::test]
@@ -120,8 +112,7 @@
         reply(200, r#"{"baton":7,"orders":[]}"#)
     );
     let answer = context.heartbeat(b"{").await;
-    let body = r#"{"error":"malformed heartbeat: not JSON, or a field is missing or invalid"}"#;
-    let expected = reply(400, body);
+    let expected = reply(400, r#"{"error":"malformed report"}"#);
     assert_eq!(status_and_body(answer), expected);
     let (heartbeats, mut sent_heartbeats) = mpsc::channel::<HeartbeatRequest>(16);
     context.channels.heartbeats = heartbeats;
@@ -133,9 +124,7 @@
     let answer = context.heartbeat(heartbeat.as_bytes()).await;
     assert_eq!(status_and_body(answer), reply(421, r#"{"answerTo":"c1"}"#));
     let answer = context.heartbeat(heartbeat.as_bytes()).await;
-    let body =
-        r#"{"error":"no owner of the machine's partition answered under a valid lease; retry"}"#;
-    let expected = reply(503, body);
+    let expected = reply(503, r#"{"error":"not entitled to answer"}"#);
     assert_eq!(status_and_body(answer), expected);
 }
 
