--- a/tests/external_names.rs
+++ b/tests/external_names.rs
@@ -65,11 +65,8 @@
 /// Returns whether `name` occurs in a string literal, which a rename of identifiers does not
 /// change.
 fn occurs_in_literal(code: &str, name: &str) -> bool {
-    let literals = code
-        .lines()
-        .flat_map(|line| line.split('"').skip(1).step_by(2));
-    literals
-        .into_iter()
+    code.lines()
+        .flat_map(|line| line.split('"').skip(1).step_by(2))
         .any(|literal| occurrences(literal, name).next().is_some())
 }
 
@@ -103,15 +100,19 @@
     if !is_rust {
         return occurrences(code, name).next().is_some();
     }
+    if occurs_in_literal(code, name) {
+        return true;
+    }
     // Names of one or two letters occur in most files as identifiers of other things.
     const MAX_SHORT_NAME: usize = 2;
-    occurs_in_literal(code, name)
-        || (name.len() > MAX_SHORT_NAME && occurs_as_identifier(code, name))
-        || is_declared_field(code, name)
+    if name.len() <= MAX_SHORT_NAME {
+        is_declared_field(code, name)
+    } else {
+        occurs_as_identifier(code, name)
+    }
 }
 
-/// Returns whether a line begins with the declaration of a field of this name. This also covers
-/// names of one or two letters.
+/// Returns whether a line begins with the declaration of a field of this name.
 fn is_declared_field(code: &str, name: &str) -> bool {
     let identifiers = identifiers(name);
     code.lines().map(str::trim).any(|line| {
